--- a/src/datagram/agent.rs
+++ b/src/datagram/agent.rs
@@ -1,15 +1,16 @@
-//! What an agent does with the packets of its upstream's flows, which it sees both ways.
+//! The agent of an upstream: forwards packets both ways, knows which flows the upstream owns, and
+//! limits the new flows that it gets.
 
 mod admission;
 mod answers;
 mod cold;
 mod delivery;
+mod fan_out;
+mod flow_entry;
 mod granting;
 mod grants;
-mod held;
 mod machine;
 mod restarting;
-mod trying;
 mod work;
 
 pub use machine::Machine;
--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -1,17 +1,18 @@
-//! Whether an agent gives its upstream a new flow.
+//! Decides whether the agent lets its upstream open a new flow.
 
 use {
-  super::{cold, held::State, machine::Machine},
+  super::{cold, flow_entry::FlowState, machine::Machine},
   crate::datagram::{Codec, Flow, Warmup, frame::Refusal},
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// How many times as long as balancers an agent goes on in a data centre that was closed: they heard of
-/// it at other moments, and each takes its flows away at its own.
-const GUARD: f64 = 1.5;
+/// An agent takes new flows in a closed data centre for so many times as long as the balancers send
+/// them: each process starts that time when the order reaches it.
+const CLOSE_DELAY_FACTOR: f64 = 1.5;
 
 impl<C: Codec> Machine<C> {
-  /// Why the upstream is not given a flow that a balancer wants opened; none where it is.
+  /// Why a flow that a balancer wants opened is refused; none where it is admitted. Uses a slot
+  /// that is reserved for the balancer, if there is one.
   pub(super) fn refusal(
     &mut self,
     now: Instant,
@@ -24,74 +25,75 @@
     if self.is_closed(now) {
       return Some(Refusal::Closed);
     }
-    let known = self.has(flow);
-    if !known && !self.work.admits(now) {
+    let known = self.has_flow(flow);
+    if !known && !self.work.allows(now) {
       return Some(Refusal::Down);
     }
-    let granted = self.grants.take(balancer);
+    let granted = self.grants.redeem(balancer);
     if known {
       return None;
     }
     if self.room(now).is_some_and(|room| room == 0) {
       return Some(Refusal::Cold);
     }
-    (!granted && self.is_too_long(flow)).then_some(Refusal::Busy)
+    (!granted && self.would_miss_objective(flow)).then_some(Refusal::Busy)
   }
 
-  /// Whether no new flow may come, since the data centre is closed.
+  /// Whether new flows are refused because the data centre is closed.
   pub(super) fn is_closed(&self, now: Instant) -> bool {
-    self.closed.is_some_and(|from| now >= from)
+    self.closed_from.is_some_and(|from| now >= from)
   }
 
-  /// Whether the upstream was given a flow's opening packet before: another copy is no new flow.
-  pub(super) fn has(&self, flow: &Flow) -> bool {
+  /// Whether the upstream already has the flow's opening packet, so that another one is a
+  /// retransmission.
+  pub(super) fn has_flow(&self, flow: &Flow) -> bool {
     let entry = self.flows.get(flow);
-    entry.is_some_and(|entry| matches!(entry.state, State::Opening | State::Open))
+    entry.is_some_and(|entry| matches!(entry.state, FlowState::Opening | FlowState::Open))
   }
 
-  /// How many new flows the upstream may be given now besides those that a place is kept for; none
-  /// where nothing bounds that.
+  /// How many new flows the warm-up allows now, besides those that slots are reserved for; none
+  /// where they are not limited.
   pub(super) fn room(&self, now: Instant) -> Option<u16> {
     let room = self.cold.room(now, self.warmup())?;
-    Some(room.saturating_sub(self.grants.kept()))
+    Some(room.saturating_sub(self.grants.reserved()))
   }
 
-  /// What counts as stated of a cold upstream.
+  /// The limit during the upstream's warm-up; none where the operator states none.
   pub(super) fn warmup(&self) -> Option<Warmup> {
     let catalog = self.spread.catalog();
     match catalog.configuration() {
-      None => Some(cold::UNKNOWN),
+      None => Some(cold::DEFAULT_WARMUP),
       Some(_) => catalog.warmup(&self.upstream.service),
     }
   }
 
-  /// The upstream may have been started again without a word.
-  pub(super) fn doubt(&mut self, now: Instant) {
+  /// Limits new flows as during a warm-up, since the upstream may have restarted unnoticed.
+  pub(super) fn suspect_restart(&mut self, now: Instant) {
     let known = self.spread.catalog().complete();
-    self.cold.doubt(now, known);
+    self.cold.suspect_restart(now, known);
   }
 
-  /// Learns from the list whether the data centre is closed, and whether the upstream is cold.
-  pub(super) fn reconsider(&mut self, now: Instant) {
+  /// Takes from the catalog whether the data centre is closed and how long the upstream warms up.
+  pub(super) fn update_admission(&mut self, now: Instant) {
     let closures = self.spread.catalog().closures();
     let closed = closures.is_closed(&self.data_centre);
-    if closed != self.closed.is_some() {
+    if closed != self.closed_from.is_some() {
       log::info!(
         data_centre:% = self.data_centre, closed = closed;
-        "agent: the list says whether the data centre is closed."
+        "agent: data centre was closed or opened to new flows."
       );
-      let grace = self.spread.closing_left().mul_f64(GUARD);
-      self.closed = closed.then_some(now + grace);
+      let delay = self.spread.closing_left().mul_f64(CLOSE_DELAY_FACTOR);
+      self.closed_from = closed.then_some(now + delay);
     }
     if let Some(opened) = closures.opened(&self.data_centre) {
-      self.cold.opened(now, opened);
+      self.cold.suspect_reopened(now, opened);
     }
-    // What has left the list says nothing of the run that may follow.
+    // A tombstone says nothing of the upstream's next incarnation.
     let entry = self.spread.catalog().at(self.upstream.address);
     if let Some((_, entry)) = entry.filter(|(_, entry)| entry.gone.is_none()) {
       self
         .cold
-        .learn(now, entry.revision, entry.target.warmup_left);
+        .set_warmup_left(now, entry.revision, entry.target.warmup_left);
     }
   }
 }
--- a/src/datagram/agent/answers.rs
+++ b/src/datagram/agent/answers.rs
@@ -1,9 +1,9 @@
-//! What an agent does with the packets of its upstream.
+//! Handles packets of the upstream: forwards them to callers and tracks its flows and requests.
 
 use {
   super::{
-    delivery::found,
-    held::{Held, State},
+    delivery::found_frame,
+    flow_entry::{FlowEntry, FlowState},
     machine::Machine,
   },
   crate::{
@@ -14,7 +14,12 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// A packet came from the upstream.
+  /// Forwards a packet of the upstream to its caller. A bounced packet, and a reset of a flow that
+  /// is only under test, are reported to the balancer instead.
+  ///
+  /// # Errors
+  ///
+  /// The codec's code where the packet can't be read.
   pub(super) fn take_packet(
     &mut self,
     now: Instant,
@@ -24,107 +29,126 @@
     let head = self.codec.read_from_upstream(packet)?;
     if head.returned {
       self.codec.restore(packet);
-      self.returned(now, &head, packet, out);
+      self.take_bounced(now, &head, packet, out);
       return Ok(());
     }
     self.heard(now);
-    if head.resets && self.is_tested(&head.flow) {
-      self.denied(now, head.flow, out);
+    if head.resets && self.is_under_test(&head.flow) {
+      self.fail_test(now, head.flow, out);
       return Ok(());
     }
-    self.answered(now, &head, packet.len(), out);
-    let to = SocketAddrV4::new(*head.flow.caller.ip(), self.port);
+    self.record_answer(now, &head, packet.len(), out);
+    let to = SocketAddrV4::new(*head.flow.caller.ip(), self.callers_port);
     out.packet(Via::Callers, to, packet);
     Ok(())
   }
 
-  /// Whether a flow is only being tried at the upstream.
-  fn is_tested(&self, flow: &Flow) -> bool {
+  /// Whether the outcome of a flow test is pending.
+  fn is_under_test(&self, flow: &Flow) -> bool {
     let entry = self.flows.get(flow);
-    entry.is_some_and(|entry| matches!(entry.state, State::Tested { .. }))
+    entry.is_some_and(|entry| matches!(entry.state, FlowState::Tested { .. }))
   }
 
-  /// The upstream resets a flow that was only tried there: it is not here. Passed on, the reset would end a
-  /// flow that is open at another target.
-  fn denied(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
-    log::info!(flow:% = flow; "agent: upstream resets a tested flow.");
+  /// Ends the test of a flow that the upstream has reset: it does not own the flow. The reset is
+  /// not forwarded, since the flow may be open at another target.
+  fn fail_test(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
+    log::info!(flow:% = flow; "agent: upstream reset a flow under test.");
     let entry = self.flows.get(&flow).copied();
-    self.forget_work(entry);
-    self.deny(now, flow, entry, &[], out);
+    self.end_work(entry);
+    self.report_absent(now, flow, entry, &[], out);
   }
 
-  /// The upstream said something. After a silence it may have been started again.
+  /// Records a sign of life of the upstream. One that was down until then may have restarted.
   fn heard(&mut self, now: Instant) {
     if self.work.heard(now) {
-      self.doubt(now);
+      self.suspect_restart(now);
     }
   }
 
-  /// Learns from a packet on its way to a caller.
-  pub(super) fn answered(&mut self, now: Instant, head: &Head, length: usize, out: &mut Outbox) {
+  /// Updates a flow and its request from a packet to its caller, and reports an answered opening
+  /// packet or a successful test to the balancer.
+  pub(super) fn record_answer(
+    &mut self,
+    now: Instant,
+    head: &Head,
+    length: usize,
+    out: &mut Outbox,
+  ) {
     let flow = head.flow;
-    self.work.forget(now);
+    self.work.expire_measurements(now);
     let load = self.load(now);
     let entry = self
       .flows
       .entry(flow)
-      .or_insert(Held::new(now, State::Open, None));
-    entry.seen = now;
+      .or_insert(FlowEntry::new(now, FlowState::Open, None));
+    entry.last_packet = now;
     entry.bytes = entry.bytes.saturating_add(length as u32);
     if head.opens {
-      entry.take_answer(head.sequence);
+      entry.set_answer(head.sequence);
       if let Some(balancer) = entry.balancer {
         out.frame(balancer, &Frame::Opened(flow, load), &[]);
       }
       return;
     }
-    if let (State::Tested { .. }, Some(balancer)) = (entry.state, entry.balancer) {
-      out.frame(balancer, &found(flow, &self.upstream), &[]);
+    if let (FlowState::Tested { .. }, Some(balancer)) = (entry.state, entry.balancer) {
+      out.frame(balancer, &found_frame(flow, &self.upstream), &[]);
     }
-    if !matches!(entry.state, State::Opening) {
-      entry.state = State::Open;
+    if !matches!(entry.state, FlowState::Opening) {
+      entry.state = FlowState::Open;
     }
     if head.data == 0 && !head.resets && !head.ends {
       return;
     }
-    if let Some(since) = entry.waits.take() {
+    if let Some(since) = entry.unanswered_since.take() {
       if head.data > 0 {
-        self.work.moved(f64::from(entry.bytes));
+        self.work.record_bytes(f64::from(entry.bytes));
         entry.bytes = 0;
         let time = now.saturating_duration_since(since);
         self.counter.observe("answer", time);
-        // The upstream works on a request once it is whole.
-        let whole = entry.newest.map_or(since, |(at, _)| at.max(since));
-        let time = now.saturating_duration_since(whole);
-        self.work.answered(now, time, entry.ahead, self.slots);
+        // The upstream works on a request once all of it has arrived.
+        let received = entry.newest_data.map_or(since, |data| data.at.max(since));
+        let time = now.saturating_duration_since(received);
+        self
+          .work
+          .record_answer(now, time, entry.requests_ahead, self.slots);
       } else if head.resets {
-        self.work.broken_off(now);
+        self.work.record_reset(now);
       } else {
-        self.work.ended();
+        self.work.end();
       }
     }
   }
 
-  /// The upstream sent a packet back.
-  pub(super) fn returned(&mut self, now: Instant, head: &Head, packet: &[u8], out: &mut Outbox) {
+  /// Handles a packet that the upstream bounced since it does not own its flow. A retransmission of
+  /// an opening packet changes nothing; any other packet ends the flow here, and its balancer is
+  /// told.
+  pub(super) fn take_bounced(
+    &mut self,
+    now: Instant,
+    head: &Head,
+    packet: &[u8],
+    out: &mut Outbox,
+  ) {
     let flow = head.flow;
     self.heard(now);
     let entry = self.flows.get(&flow).copied();
-    if !head.opens && entry.is_some_and(|entry| entry.state == State::Open) {
-      // It has forgotten what it had.
-      self.doubt(now);
+    if !head.opens && entry.is_some_and(|entry| entry.state == FlowState::Open) {
+      // The upstream has lost a flow that it owned.
+      self.suspect_restart(now);
     }
-    if let (true, Some(taken)) = (head.opens, entry.filter(Held::is_taken)) {
-      // A late copy: what the upstream took before stays there.
-      if let Some(balancer) = taken.balancer {
+    if let (true, Some(accepted)) = (head.opens, entry.filter(FlowEntry::is_accepted)) {
+      // A late retransmission: the upstream keeps the flow that it has accepted.
+      if let Some(balancer) = accepted.balancer {
         out.frame(balancer, &Frame::Opened(flow, self.load(now)), &[]);
       }
       return;
     }
-    self.forget_work(entry);
+    self.end_work(entry);
     log::info!(
-      flow:% = flow, opens = head.opens, known = matches!(entry.map(|entry| entry.state), Some(State::Open)), to:? = entry.and_then(|entry| entry.balancer);
-      "agent: upstream does not hold the flow."
+      flow:% = flow, opens = head.opens,
+      known = matches!(entry.map(|entry| entry.state), Some(FlowState::Open)),
+      balancer:? = entry.and_then(|entry| entry.balancer);
+      "agent: upstream does not own the flow."
     );
     if head.opens {
       self.flows.remove(&flow);
@@ -136,40 +160,43 @@
     }
     let wanted = !matches!(
       entry.map(|entry| entry.state),
-      Some(State::Tested { wanted: false, .. })
+      Some(FlowState::Tested { wanted: false, .. })
     );
     let packet = if wanted { packet } else { &[] };
-    self.deny(now, flow, entry, packet, out);
+    self.report_absent(now, flow, entry, packet, out);
   }
 
-  /// A flow is not at the upstream, whatever its entry said: its balancer is told, with a caller's packet
-  /// that goes elsewhere.
-  fn deny(
+  /// Marks a flow as absent and reports that to its balancer, with `packet` for another target
+  /// unless it is empty.
+  fn report_absent(
     &mut self,
     now: Instant,
     flow: Flow,
-    entry: Option<Held>,
+    entry: Option<FlowEntry>,
     packet: &[u8],
     out: &mut Outbox,
   ) {
     let balancer = entry.and_then(|entry| entry.balancer);
     self
       .flows
-      .insert(flow, Held::new(now, State::Absent, balancer));
+      .insert(flow, FlowEntry::new(now, FlowState::Absent, balancer));
     if let Some(balancer) = balancer {
       let frame = Frame::Absent {
         flows: vec![flow],
-        known: self.known(now, entry.map(|entry| entry.asker).unwrap_or_default()),
-        lost: entry.is_some_and(|entry| entry.state == State::Open && entry.proved),
+        known: self.known_targets(
+          now,
+          entry.map(|entry| entry.asker_revision).unwrap_or_default(),
+        ),
+        lost: entry.is_some_and(|entry| entry.state == FlowState::Open && entry.confirmed),
       };
       out.frame(balancer, &frame, packet);
     }
   }
 
-  /// What an entry counted as work ends with it.
-  fn forget_work(&mut self, entry: Option<Held>) {
-    if entry.is_some_and(|entry| entry.waits.is_some() || entry.expected) {
-      self.work.ended();
+  /// Ends the request that the entry counts as in flight, if there is one.
+  fn end_work(&mut self, entry: Option<FlowEntry>) {
+    if entry.is_some_and(|entry| entry.unanswered_since.is_some() || entry.awaits_request) {
+      self.work.end();
     }
   }
 }
--- a/src/datagram/agent/cold.rs
+++ b/src/datagram/agent/cold.rs
@@ -6,128 +6,148 @@
   },
 };
 
-/// The span in which a cold upstream may be given so many new flows, wherever it begins.
-const SPAN: Duration = Duration::from_secs(1);
+/// The sliding window in which new flows are counted, as `Warmup::per_second` states.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// What counts as stated until an agent that has just started has heard the configuration: fewer than
-/// an operator would state, and enough for the moment that it lasts.
-pub const UNKNOWN: Warmup = Warmup {
+/// The limit that applies until an agent that has just started has received the configuration. It
+/// is lower than the limits that operators state.
+pub const DEFAULT_WARMUP: Warmup = Warmup {
   lasts: Duration::MAX,
   per_second: 8,
 };
 
-/// How many entries of the window are kept at most.
+/// The most flows that are remembered in the window.
 const KEPT_MAX: usize = u16::MAX as usize;
 
-/// Whether the upstream is cold, and what it was given in the last second. The platform's word of
-/// it is as old as a heartbeat, and an upstream may have turned cold without a word; it is then taken
-/// for cold until a newer word says otherwise, or for as long as being cold lasts.
+/// Limits the rate of new flows while the upstream warms up (slow start).
+///
+/// What the platform writes of the warm-up is late by up to a heartbeat, and an upstream may
+/// restart unnoticed. Where a restart is suspected, the upstream counts as warming up until a later
+/// revision says otherwise, or for as long as a warm-up lasts.
 #[derive(Debug, Default)]
 pub struct Cold {
-  /// Since when the upstream may have turned cold without a word: what the platform wrote up to this
-  /// revision says nothing of it.
-  doubted: Option<(Instant, Revision)>,
-  /// When its data centre was last opened to new flows.
-  opened: Revision,
-  /// When it was given new flows, in the last span.
-  given: VecDeque<Instant>,
-  /// The last word of the platform.
-  heard: Revision,
-  /// Until when a run before this one may have given it flows in the same span.
+  /// When the upstream has warmed up, by the platform's last record.
+  cold_until: Option<Instant>,
+  /// The revision of the platform's last record of the upstream.
+  last_revision: Revision,
+  /// The revision at which its data centre was last opened to new flows.
+  last_reopened: Revision,
+  /// When flows were opened in the last window, the oldest first.
+  opens: VecDeque<Instant>,
+  /// Until when the agent's previous incarnation may have opened flows in the same window.
   shared_until: Option<Instant>,
-  /// Until when it is cold, or was, by the platform's word.
-  until: Option<Instant>,
+  /// A suspected restart of the upstream that the platform has not confirmed or ruled out yet.
+  suspected: Option<Suspicion>,
+}
+
+/// A suspected restart of the upstream.
+#[derive(Clone, Copy, Debug)]
+struct Suspicion {
+  /// The platform's records up to this revision do not take the restart into account.
+  known: Revision,
+  since: Instant,
 }
 
 impl Cold {
-  /// What an agent that has just started knows of its upstream: it was started before, unless the whole
-  /// system starts for the first time.
+  /// The state of an agent that has just started: the upstream may have restarted shortly before,
+  /// unless the whole system starts for the first time.
   pub fn new(now: Instant, first_start: bool) -> Self {
+    let suspicion = Suspicion {
+      known: Revision::default(),
+      since: now,
+    };
     Self {
-      doubted: (!first_start).then_some((now, Revision::default())),
-      shared_until: (!first_start).then_some(now + SPAN),
+      shared_until: (!first_start).then_some(now + WINDOW),
+      suspected: (!first_start).then_some(suspicion),
       ..Self::default()
     }
   }
 
-  /// The upstream may have turned cold: nothing that the platform wrote up to `known` tells.
-  pub fn doubt(&mut self, now: Instant, known: Revision) {
-    self.doubted = Some((now, known.max(self.heard)));
+  /// Suspects a restart of the upstream that the platform's records up to `known` do not show.
+  pub fn suspect_restart(&mut self, now: Instant, known: Revision) {
+    self.suspected = Some(Suspicion {
+      known: known.max(self.last_revision),
+      since: now,
+    });
   }
 
-  /// When room that is used up comes back, where that is to be waited for.
+  /// When the next flow leaves the window; none unless the limit is used up.
   pub fn deadline(&self, now: Instant, warmup: Option<Warmup>) -> Option<Instant> {
     if self.room(now, warmup) != Some(0) {
       return None;
     }
     let limit = usize::from(self.limit(now, warmup?));
-    let oldest = self.given.len().checked_sub(limit)?;
-    self.given.get(oldest).map(|at| *at + SPAN)
+    let oldest = self.opens.len().checked_sub(limit)?;
+    self.opens.get(oldest).map(|at| *at + WINDOW)
   }
 
-  /// The upstream is given a new flow.
-  pub fn give(&mut self, now: Instant) {
-    let old = |at: &Instant| now.saturating_duration_since(*at) >= SPAN;
-    while self.given.len() >= KEPT_MAX || self.given.front().is_some_and(old) {
-      self.given.pop_front();
+  /// Counts a flow that the upstream is given to open.
+  pub fn record_open(&mut self, now: Instant) {
+    let is_old = |at: &Instant| now.saturating_duration_since(*at) >= WINDOW;
+    while self.opens.len() >= KEPT_MAX || self.opens.front().is_some_and(is_old) {
+      self.opens.pop_front();
     }
-    self.given.push_back(now);
+    self.opens.push_back(now);
   }
 
-  /// The first list came, as of a revision: a doubt from before it stays.
-  pub fn list(&mut self, known: Revision) {
-    if let Some((_, before)) = &mut self.doubted {
-      *before = known.max(*before);
+  /// Keeps a suspected restart suspected although the first target list has come, as of `known`:
+  /// the list may have been written before the restart.
+  pub fn extend_suspicion(&mut self, known: Revision) {
+    if let Some(suspicion) = &mut self.suspected {
+      suspicion.known = known.max(suspicion.known);
     }
   }
 
-  /// The platform's word at a revision: how much longer the upstream is cold.
-  pub fn learn(&mut self, now: Instant, revision: Revision, left: Duration) {
-    if revision <= self.heard {
+  /// Takes the platform's record at `revision`, by which the warm-up lasts for `left` more.
+  pub fn set_warmup_left(&mut self, now: Instant, revision: Revision, left: Duration) {
+    if revision <= self.last_revision {
       return;
     }
-    self.heard = revision;
-    let answered = self.doubted.is_some_and(|(_, known)| revision > known);
-    if !left.is_zero() || answered {
-      self.until = Some(now + left);
+    self.last_revision = revision;
+    let settles = self
+      .suspected
+      .is_some_and(|suspicion| revision > suspicion.known);
+    if !left.is_zero() || settles {
+      self.cold_until = Some(now + left);
     } else {
-      self.until = self.until.map(|until| until.min(now));
+      self.cold_until = self.cold_until.map(|until| until.min(now));
     }
-    if answered {
-      self.doubted = None;
+    if settles {
+      self.suspected = None;
     }
   }
 
-  /// Its data centre is open to new flows, since a revision: it may have turned cold just before.
-  pub fn opened(&mut self, now: Instant, revision: Revision) {
-    if revision > self.opened {
-      self.opened = revision;
-      self.doubt(now, revision);
+  /// Suspects a restart if the data centre was opened to new flows at a later `revision` than
+  /// before: the upstream may have restarted just before that.
+  pub fn suspect_reopened(&mut self, now: Instant, revision: Revision) {
+    if revision > self.last_reopened {
+      self.last_reopened = revision;
+      self.suspect_restart(now, revision);
     }
   }
 
-  /// How many new flows the upstream may be given now: fewer than any second that it is cold in may
-  /// have; none where nothing bounds that. `warmup` is what the operator states of its service.
+  /// How many new flows the upstream may be given now; none where they are not limited. `warmup` is
+  /// the operator's limit for its service.
   pub fn room(&self, now: Instant, warmup: Option<Warmup>) -> Option<u16> {
     let warmup = warmup?;
-    // A span that begins while the upstream is cold counts to its end.
-    let lasts = warmup.lasts.saturating_add(SPAN);
-    let doubted = self
-      .doubted
-      .is_some_and(|(since, _)| now.saturating_duration_since(since) < lasts);
-    let cold = doubted || self.until.is_some_and(|until| now < until + SPAN);
-    if !cold {
+    // A window that begins during the warm-up is limited to its end.
+    let lasts = warmup.lasts.saturating_add(WINDOW);
+    let is_suspected = self
+      .suspected
+      .is_some_and(|suspicion| now.saturating_duration_since(suspicion.since) < lasts);
+    let is_cold = is_suspected || self.cold_until.is_some_and(|until| now < until + WINDOW);
+    if !is_cold {
       return None;
     }
-    let recent = self.given.iter().rev();
-    let recent = recent.take_while(|at| now.saturating_duration_since(**at) < SPAN);
+    let recent = self.opens.iter().rev();
+    let recent = recent.take_while(|at| now.saturating_duration_since(**at) < WINDOW);
     let limit = self.limit(now, warmup);
-    let given = recent.take(limit.into()).count();
-    Some(limit - given as u16)
+    let opened = recent.take(limit.into()).count();
+    Some(limit - opened as u16)
   }
 
-  /// How many new flows the upstream may be given in a span. The run before may have given it all that
-  /// is stated just before it ended, so that this one gives half as many in its first span.
+  /// How many flows may be opened in a window. It is half as many in the first window, since the
+  /// agent's previous incarnation may have opened as many as are allowed just before it ended.
   fn limit(&self, now: Instant, warmup: Warmup) -> u16 {
     if self.shared_until.is_some_and(|until| now < until) {
       return warmup.per_second.div_ceil(2);
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -1,9 +1,9 @@
-//! What an agent does with the packets of callers.
+//! Delivers callers' packets to the upstream, tests flows there and answers balancers' queries.
 
 use {
   super::{
-    held::{Held, State},
-    machine::{Carried, Machine, PAST_MAX},
+    flow_entry::{FlowEntry, FlowState},
+    machine::{CallerPacket, KNOWN_MAX, Machine},
   },
   crate::{
     Code, Revision,
@@ -20,122 +20,140 @@
 };
 
 impl<C: Codec> Machine<C> {
-  pub(super) fn carry(
+  /// Opens a flow with a caller's packet, or delivers the packet to the upstream.
+  ///
+  /// # Errors
+  ///
+  /// `Code::FrameWrongService` where the packet is meant for another service than the upstream's.
+  pub(super) fn forward(
     &mut self,
     now: Instant,
-    carried: &Carried,
+    packet: &CallerPacket,
     service: Digest,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.spread.heard(now, carried.from, true);
+    self.spread.heard(now, packet.balancer, true);
     if service != self.upstream.service.digest() {
-      self.turn_away(now, carried, Refusal::Service, out);
+      self.refuse(now, packet, Refusal::Service, out);
       return Err(Code::FrameWrongService);
     }
-    if carried.head.opens {
-      self.open(now, carried, out);
+    if packet.head.opens {
+      self.open(now, packet, out);
     } else {
-      self.deliver(now, carried, out);
+      self.deliver(now, packet, out);
     }
     Ok(())
   }
 
-  pub(super) fn open(&mut self, now: Instant, carried: &Carried, out: &mut Outbox) {
-    let version = carried.version;
-    let flow = carried.head.flow;
+  /// Gives the upstream an opening packet, unless the flow is refused. A packet that was sent by an
+  /// older configuration, to a route that no longer has this service, is dropped.
+  pub(super) fn open(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
+    let version = packet.version;
+    let flow = packet.head.flow;
     let catalog = self.spread.catalog();
     let route = catalog.route(&flow.route);
     let takes = route.is_some_and(|route| route.backends.takes(&self.upstream.service));
     if catalog.version() > version && !takes {
       log::info!(
         flow:% = flow, version:% = catalog.version(), sender:% = version;
-        "agent: opening packet is for a dropped route."
+        "agent: dropped an opening packet for a route that no longer has this service."
       );
       self.counter.count(Code::PacketUnroutable);
       return;
     }
-    if let Some(refusal) = self.refusal(now, &flow, carried.from) {
-      self.turn_away(now, carried, refusal, out);
+    if let Some(refusal) = self.refusal(now, &flow, packet.balancer) {
+      self.refuse(now, packet, refusal, out);
       return;
     }
-    if !self.has(&flow) {
-      self.cold.give(now);
+    if !self.has_flow(&flow) {
+      self.cold.record_open(now);
     }
     let entry = self
       .flows
       .entry(flow)
-      .or_insert(Held::new(now, State::Opening, None));
-    if matches!(entry.state, State::Absent | State::Tested { .. }) {
-      entry.state = State::Opening;
+      .or_insert(FlowEntry::new(now, FlowState::Opening, None));
+    if matches!(entry.state, FlowState::Absent | FlowState::Tested { .. }) {
+      entry.state = FlowState::Opening;
     }
-    entry.balancer = Some(carried.from);
-    entry.seen = now;
-    if !entry.expected && entry.waits.is_none() {
-      entry.expected = true;
-      entry.opened = Some(now);
-      self.work.begun();
-      self.expected.insert((now + self.arrival.wait(), flow));
+    entry.balancer = Some(packet.balancer);
+    entry.last_packet = now;
+    if !entry.awaits_request && entry.unanswered_since.is_none() {
+      entry.awaits_request = true;
+      entry.opened_at = Some(now);
+      self.work.begin();
+      self
+        .awaiting_request
+        .insert((now + self.first_request_timeout.wait(), flow));
     }
-    self.work.asked(now);
-    out.packet(Via::Upstream, self.upstream.address, carried.packet);
+    self.work.await_answer(now);
+    out.packet(Via::Upstream, self.upstream.address, packet.bytes);
   }
 
-  /// Takes a packet of a flow that is not being opened.
-  pub(super) fn deliver(&mut self, now: Instant, carried: &Carried, out: &mut Outbox) {
-    let flow = carried.head.flow;
+  /// Delivers a packet of an existing flow, and tests the flow where it is unknown and may have
+  /// been opened by a previous incarnation. Reports other unknown flows absent.
+  pub(super) fn deliver(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
+    let flow = packet.head.flow;
     let forgetful = now < self.forgetful_until;
     let Some(entry) = self.flows.get_mut(&flow) else {
       if forgetful {
-        self.test(now, carried, out);
+        self.start_test(now, packet, out);
       } else {
-        absent(carried, self.known(now, carried.complete), out);
+        send_absent(packet, self.known_targets(now, packet.complete), out);
       }
       return;
     };
     match entry.state {
-      State::Opening if entry.is_answered(carried.head.acknowledges) => {
-        entry.proved = true;
-        entry.state = State::Open;
+      FlowState::Opening if entry.is_answered(packet.head.acknowledges) => {
+        entry.confirmed = true;
+        entry.state = FlowState::Open;
       }
-      // An opening packet that came late may be of a flow that the run before had opened.
-      State::Opening if forgetful => {
-        self.test(now, carried, out);
+      // A late opening packet may belong to a flow that the previous incarnation had opened.
+      FlowState::Opening if forgetful => {
+        self.start_test(now, packet, out);
         return;
       }
-      State::Opening | State::Absent => {
-        absent(carried, self.known(now, carried.complete), out);
+      FlowState::Opening | FlowState::Absent => {
+        send_absent(packet, self.known_targets(now, packet.complete), out);
         return;
       }
-      State::Open | State::Tested { .. } => {}
+      FlowState::Open | FlowState::Tested { .. } => {}
     }
-    entry.seen = now;
-    entry.asker = carried.complete;
-    entry.balancer = Some(carried.from);
-    let tested = matches!(entry.state, State::Tested { .. });
-    if tested && carried.purpose == Purpose::Test {
-      // One packet is enough to try.
+    entry.last_packet = now;
+    entry.asker_revision = packet.complete;
+    entry.balancer = Some(packet.balancer);
+    let is_tested = matches!(entry.state, FlowState::Tested { .. });
+    if is_tested && packet.purpose == Purpose::Test {
+      // One packet is enough for a test.
       return;
     }
-    entry.bytes = entry.bytes.saturating_add(carried.packet.len() as u32);
-    let newer = carried.head.data > 0 && entry.take_data(now, carried.head.sequence);
-    if newer && let Some(opened) = entry.opened.take() {
-      self.arrival.observe(now.saturating_duration_since(opened));
+    entry.bytes = entry.bytes.saturating_add(packet.bytes.len() as u32);
+    let is_newer = packet.head.data > 0 && entry.record_data(now, packet.head.sequence);
+    if is_newer && let Some(opened) = entry.opened_at.take() {
+      self
+        .first_request_timeout
+        .observe(now.saturating_duration_since(opened));
     }
-    if newer && entry.waits.is_none() {
-      entry.waits = Some(now);
-      if !std::mem::take(&mut entry.expected) {
-        self.work.begun();
+    if is_newer && entry.unanswered_since.is_none() {
+      entry.unanswered_since = Some(now);
+      if !std::mem::take(&mut entry.awaits_request) {
+        self.work.begin();
       }
-      entry.ahead = self.work.under_way() - 1;
+      entry.requests_ahead = self.work.under_way() - 1;
     }
-    if carried.purpose == Purpose::Test {
-      out.frame(carried.from, &found(flow, &self.upstream), &[]);
+    if packet.purpose == Purpose::Test {
+      out.frame(packet.balancer, &found_frame(flow, &self.upstream), &[]);
     }
-    out.packet(Via::Upstream, self.upstream.address, carried.packet);
+    out.packet(Via::Upstream, self.upstream.address, packet.bytes);
   }
 
-  /// Says which flows are here, as far as this run knows.
-  pub(super) fn asked(
+  /// Answers a balancer that queries `flows`, each with what its caller last acknowledged: owned,
+  /// absent, or unsure where a packet is needed for a test. A flow under test is answered later.
+  ///
+  /// # Errors
+  ///
+  /// `Code::FrameWrongService` where the upstream's service is none of `services`; the flows are
+  /// reported absent.
+  pub(super) fn answer_query(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -146,7 +164,7 @@
   ) -> Result<(), Code> {
     self.spread.heard(now, from, true);
     if !services.contains(&self.upstream.service.digest()) {
-      let known = self.known(now, complete);
+      let known = self.known_targets(now, complete);
       let flows = flows.iter().map(|(flow, _)| *flow).collect();
       let lost = false;
       out.frame(from, &Frame::Absent { flows, known, lost }, &[]);
@@ -154,11 +172,11 @@
     }
     let (mut absent, mut unsure) = (Vec::new(), Vec::new());
     for (flow, acknowledges) in flows {
-      match self.holds(now, from, flow, *acknowledges) {
-        Holds::Yes => out.frame(from, &found(*flow, &self.upstream), &[]),
-        Holds::No => absent.push(*flow),
-        Holds::Tested => {}
-        Holds::Unknown => unsure.push(*flow),
+      match self.ownership(now, from, flow, *acknowledges) {
+        Ownership::Owned => out.frame(from, &found_frame(*flow, &self.upstream), &[]),
+        Ownership::NotOwned => absent.push(*flow),
+        Ownership::Testing => {}
+        Ownership::Unknown => unsure.push(*flow),
       }
     }
     if !unsure.is_empty() {
@@ -169,95 +187,109 @@
       out.frame(from, &frame, &[]);
     }
     if !absent.is_empty() {
-      let known = self.known(now, complete);
+      let known = self.known_targets(now, complete);
       let (flows, lost) = (absent, false);
       out.frame(from, &Frame::Absent { flows, known, lost }, &[]);
     }
     Ok(())
   }
 
-  /// Whether a flow is here whose caller last acknowledged `acknowledges`; who asks is told later
-  /// where that is being tried.
-  fn holds(&mut self, now: Instant, asker: SocketAddrV4, flow: &Flow, acknowledges: u32) -> Holds {
+  /// Whether the upstream owns a flow whose caller last acknowledged `acknowledges`. The outcome of
+  /// a pending test will be sent to `asker`.
+  fn ownership(
+    &mut self,
+    now: Instant,
+    asker: SocketAddrV4,
+    flow: &Flow,
+    acknowledges: u32,
+  ) -> Ownership {
     let forgetful = now < self.forgetful_until;
-    let unknown = if forgetful { Holds::Unknown } else { Holds::No };
+    let unknown = if forgetful {
+      Ownership::Unknown
+    } else {
+      Ownership::NotOwned
+    };
     let Some(entry) = self.flows.get_mut(flow) else {
       return unknown;
     };
     match entry.state {
-      State::Open => Holds::Yes,
-      State::Opening if entry.is_answered(acknowledges) => Holds::Yes,
-      State::Opening => unknown,
-      State::Absent => Holds::No,
-      State::Tested { .. } => {
+      FlowState::Open => Ownership::Owned,
+      FlowState::Opening if entry.is_answered(acknowledges) => Ownership::Owned,
+      FlowState::Opening => unknown,
+      FlowState::Absent => Ownership::NotOwned,
+      FlowState::Tested { .. } => {
         entry.balancer = Some(asker);
-        Holds::Tested
+        Ownership::Testing
       }
     }
   }
 
-  /// This run does not know the flow, but its upstream may: it is given the packet and sends it
-  /// back if it does not.
-  pub(super) fn test(&mut self, now: Instant, carried: &Carried, out: &mut Outbox) {
-    let flow = carried.head.flow;
-    log::info!(flow:% = flow, from:% = carried.from; "agent: flow is unknown and tested.");
+  /// Tests whether the upstream owns a flow that this incarnation does not know: the upstream is
+  /// given the packet and bounces it if it does not.
+  pub(super) fn start_test(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
+    let flow = packet.head.flow;
+    log::info!(flow:% = flow, balancer:% = packet.balancer; "agent: testing an unknown flow.");
     let deadline = now + self.tuning.test;
     self.tests.push_back((deadline, flow));
-    let state = State::Tested {
+    let state = FlowState::Tested {
       deadline,
-      wanted: carried.purpose == Purpose::Deliver,
+      wanted: packet.purpose == Purpose::Deliver,
     };
     let entry = self
       .flows
       .entry(flow)
-      .or_insert(Held::new(now, state, None));
-    entry.asker = carried.complete;
-    entry.balancer = Some(carried.from);
-    entry.seen = now;
+      .or_insert(FlowEntry::new(now, state, None));
+    entry.asker_revision = packet.complete;
+    entry.balancer = Some(packet.balancer);
+    entry.last_packet = now;
     entry.state = state;
-    out.packet(Via::Upstream, self.upstream.address, carried.packet);
+    out.packet(Via::Upstream, self.upstream.address, packet.bytes);
   }
 
-  /// The upstream did not send a tested packet back: it has the flow.
-  pub(super) fn kept(&mut self, flow: Flow, deadline: Instant, out: &mut Outbox) {
+  /// Ends the test whose deadline has passed: the upstream owns the flow, since it has not bounced
+  /// the packet. Does nothing where the test has ended before.
+  pub(super) fn conclude_test(&mut self, flow: Flow, deadline: Instant, out: &mut Outbox) {
     let Some(entry) = self.flows.get_mut(&flow) else {
       return;
     };
-    if !matches!(entry.state, State::Tested { deadline: own, .. } if own == deadline) {
+    if !matches!(entry.state, FlowState::Tested { deadline: own, .. } if own == deadline) {
       return;
     }
-    entry.state = State::Open;
-    log::info!(flow:% = flow; "agent: tested flow was not sent back.");
+    entry.state = FlowState::Open;
+    log::info!(flow:% = flow; "agent: upstream did not bounce the tested packet.");
     if let Some(balancer) = entry.balancer {
-      out.frame(balancer, &found(flow, &self.upstream), &[]);
+      out.frame(balancer, &found_frame(flow, &self.upstream), &[]);
     }
   }
 
-  pub(super) fn turn_away(
+  /// Tells the balancer that a flow is not opened, or that it is absent where its packet was not
+  /// meant to open it.
+  pub(super) fn refuse(
     &mut self,
     now: Instant,
-    carried: &Carried,
+    packet: &CallerPacket,
     refusal: Refusal,
     out: &mut Outbox,
   ) {
-    let flow = carried.head.flow;
-    if carried.purpose == Purpose::Open {
+    let flow = packet.head.flow;
+    if packet.purpose == Purpose::Open {
       let load = self.load(now);
       log::info!(
-        flow:% = flow, why:? = refusal, work = load.work, service_ms = load.service_ms,
+        flow:% = flow, reason:? = refusal, work = load.work, service_ms = load.service_ms,
         slots = self.slots(), complete:% = self.spread.catalog().complete();
-        "agent: flow is not opened."
+        "agent: refused to open a flow."
       );
       let frame = Frame::Refused(flow, refusal, load);
-      out.frame(carried.from, &frame, &[]);
+      out.frame(packet.balancer, &frame, &[]);
     } else {
-      absent(carried, self.known(now, carried.complete), out);
+      send_absent(packet, self.known_targets(now, packet.complete), out);
     }
   }
 
-  /// Whether a new flow's request would be answered too late. Which routes go first is the
-  /// balancers' to decide: they look at the stricter limit.
-  pub(super) fn is_too_long(&self, flow: &Flow) -> bool {
+  /// Whether the first request of a new flow would be answered too late for its route's objective.
+  /// The agent applies the looser limit of routes with priority to all; balancers apply the
+  /// stricter one to the others.
+  pub(super) fn would_miss_objective(&self, flow: &Flow) -> bool {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return false;
     };
@@ -265,11 +297,11 @@
     self.work.wait_ms(self.slots()) > objective_ms * self.tuning.wait_part_first
   }
 
-  /// What is known here of where else a flow of this service may be, besides what the asker knows,
-  /// who knows the list up to a revision. Where all of that is named, the asker need not know more of
-  /// the list for its proof: after a loss of power the list changed for 2 s, and callers of 174 dead
-  /// flows had gone before they were told.
-  pub(super) fn known(&self, now: Instant, asker: Revision) -> Known {
+  /// The other targets that may own a flow of this service: tombstones, and targets that are newer
+  /// than the revision up to which the asker knows the target list. Where all of these are named,
+  /// the asker needs no later list to conclude that a flow is lost, even while the list keeps
+  /// changing.
+  pub(super) fn known_targets(&self, now: Instant, asker: Revision) -> Known {
     let complete = self.spread.catalog().complete();
     let entries = self.spread.catalog().entries();
     let past = entries.filter_map(|(_, entry)| {
@@ -279,47 +311,52 @@
         None => Duration::ZERO,
       };
       let target = &entry.target;
-      let counts =
+      let may_own =
         target.service == self.upstream.service && target.address != self.upstream.address;
-      counts.then_some((target.address, age.as_millis() as u32))
+      may_own.then_some((target.address, age.as_millis() as u32))
     });
-    let past = past.take(PAST_MAX).collect::<Vec<_>>();
-    let all = past.len() < PAST_MAX;
+    let past = past.take(KNOWN_MAX).collect::<Vec<_>>();
+    let all_named = past.len() < KNOWN_MAX;
     Known {
-      complete: if all { complete.min(asker) } else { complete },
+      complete: if all_named {
+        complete.min(asker)
+      } else {
+        complete
+      },
       past,
     }
   }
 }
 
-/// Whether a flow is at an agent's upstream.
-enum Holds {
-  Yes,
-  No,
-  /// The upstream was given a packet of it, and the answer is out.
-  Tested,
-  /// This run has not seen it, but has not seen all.
+/// Whether an agent's upstream owns a flow.
+enum Ownership {
+  Owned,
+  NotOwned,
+  /// A flow test is pending.
+  Testing,
+  /// This incarnation does not know the flow, but a previous one may have opened it.
   Unknown,
 }
 
-/// The word that a flow is at an upstream.
-pub(super) fn found(flow: Flow, upstream: &Upstream) -> Frame {
+/// The frame by which a balancer learns that the upstream owns a flow.
+pub(super) fn found_frame(flow: Flow, upstream: &Upstream) -> Frame {
   Frame::Found {
     flow,
     service: upstream.service.digest(),
   }
 }
 
-/// Tells a balancer that a flow is not here.
-fn absent(carried: &Carried, known: Known, out: &mut Outbox) {
-  let packet = match carried.purpose {
-    Purpose::Deliver => carried.packet,
+/// Tells a balancer that the upstream does not own a flow; returns the packet if it was to be
+/// delivered.
+fn send_absent(packet: &CallerPacket, known: Known, out: &mut Outbox) {
+  let returned = match packet.purpose {
+    Purpose::Deliver => packet.bytes,
     Purpose::Open | Purpose::Test => &[],
   };
   let frame = Frame::Absent {
-    flows: vec![carried.head.flow],
+    flows: vec![packet.head.flow],
     known,
     lost: false,
   };
-  out.frame(carried.from, &frame, packet);
+  out.frame(packet.balancer, &frame, returned);
 }
--- a/src/datagram/agent/granting.rs
+++ b/src/datagram/agent/granting.rs
@@ -1,4 +1,4 @@
-//! How an agent keeps places at its upstream for flows that wait in balancers.
+//! Grants free slots of the upstream to balancers that have flows queued.
 
 use {
   super::machine::Machine,
@@ -9,13 +9,13 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// For how many slots one place more is granted, so that no slot is idle while its next request is
-/// on its way.
-const SLOTS_AHEAD: u16 = 2;
+/// One request more than there are slots is granted for each so many slots, so that no slot is idle
+/// while its next request is on its way.
+const SLOTS_PER_EXTRA_GRANT: u16 = 2;
 
 impl<C: Codec> Machine<C> {
-  /// A balancer says how many of its flows wait.
-  pub(super) fn take_backlog(
+  /// Sets how many flows a balancer has queued for the service.
+  pub(super) fn set_backlog(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -25,13 +25,12 @@
     if service != self.upstream.service.digest() {
       return Err(Code::FrameWrongService);
     }
-    self.grants.take_backlog(now, from, flows);
+    self.grants.set_backlog(now, from, flows);
     Ok(())
   }
 
-  /// Grants the places that are free to balancers where flows wait, at once: the loads that they
-  /// hear are older than a request takes, and targets were given 450 requests a second of the 525
-  /// that they could take.
+  /// Grants the free slots to balancers that have flows queued. This happens after each event,
+  /// since the loads that balancers receive are older than the time of a request.
   pub(super) fn grant(&mut self, now: Instant, out: &mut Outbox) {
     let lapsed = self.grants.expire(now);
     self.counter.add("grants.lapsed", lapsed);
@@ -43,11 +42,11 @@
       return;
     }
     let slots = self.slots();
-    let places = slots.saturating_add(slots.div_ceil(SLOTS_AHEAD));
-    let taken = load.work.saturating_add(self.grants.kept());
-    let free = places.saturating_sub(taken);
+    let capacity = slots.saturating_add(slots.div_ceil(SLOTS_PER_EXTRA_GRANT));
+    let used = load.work.saturating_add(self.grants.reserved());
+    let free = capacity.saturating_sub(used);
     for _ in 0..self.room(now).map_or(free, |room| room.min(free)) {
-      let Some(balancer) = self.grants.next(now) else {
+      let Some(balancer) = self.grants.grant_next(now) else {
         return;
       };
       self.counter.add("grants", 1);
--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -4,17 +4,17 @@
   time::{Duration, Instant},
 };
 
-/// How long a granted place is kept for a balancer: longer than a round trip to another data
-/// centre and the time that a busy process takes for its packets.
+/// How long a granted slot is reserved: longer than a round trip to another data centre and the
+/// time that a busy process takes to handle its packets.
 const KEPT: Duration = Duration::from_millis(25);
 
-/// How long a balancer's word of its backlog counts: longer than it takes until it is renewed.
-const HEARD: Duration = Duration::from_millis(350);
+/// How long a backlog that a balancer reported counts: longer than the interval of its reports.
+const BACKLOG_TTL: Duration = Duration::from_millis(350);
 
-/// How many balancers are served at once; the others have to do without grants.
+/// The most balancers whose backlogs are tracked; others get no grants.
 const BALANCERS_MAX: usize = 512;
 
-/// What waits in a balancer for this upstream.
+/// The flows that are queued in a balancer for this upstream.
 #[derive(Clone, Copy, Debug)]
 struct Backlog {
   flows: u16,
@@ -23,70 +23,73 @@
 }
 
 impl Backlog {
+  /// How many more slots the balancer could use.
   fn wanted(&self) -> u16 {
     self.flows.saturating_sub(self.granted)
   }
 }
 
-/// Which balancers have a backlog, and which places at the upstream they were granted: only the
-/// agent knows at once when a place becomes free.
+/// The balancers that have flows queued, and the slots that are reserved for them. The agent grants
+/// slots, since it is the first to know when one is free.
 #[derive(Debug, Default)]
 pub struct Grants {
   backlogs: BTreeMap<SocketAddrV4, Backlog>,
-  /// Places that are kept, by the time when they no longer are.
-  kept: VecDeque<(Instant, SocketAddrV4)>,
+  /// Reserved slots with the time at which each lapses, the earliest first.
+  reserved: VecDeque<(Instant, SocketAddrV4)>,
 }
 
 impl Grants {
-  /// When the first place is no longer kept.
+  /// When the next reserved slot lapses; none where none is reserved.
   pub fn deadline(&self) -> Option<Instant> {
-    self.kept.front().map(|(until, _)| *until)
+    self.reserved.front().map(|(until, _)| *until)
   }
 
-  /// Forgets places that were not taken in time, and balancers that are silent; how many places.
+  /// Drops reserved slots that were not used in time, and the backlogs of balancers that no longer
+  /// report them. Returns the number of slots that lapsed.
   pub fn expire(&mut self, now: Instant) -> u64 {
     let mut lapsed = 0;
-    while let Some((until, balancer)) = self.kept.front().copied() {
+    while let Some((until, balancer)) = self.reserved.front().copied() {
       if until > now {
         break;
       }
-      self.kept.pop_front();
-      self.give_back(balancer);
+      self.reserved.pop_front();
+      self.release(balancer);
       lapsed += 1;
     }
-    let silent = |heard: Instant| now.saturating_duration_since(heard) >= HEARD;
-    self.backlogs.retain(|_, backlog| !silent(backlog.heard));
+    let is_stale = |heard: Instant| now.saturating_duration_since(heard) >= BACKLOG_TTL;
+    self.backlogs.retain(|_, backlog| !is_stale(backlog.heard));
     lapsed
   }
 
-  /// Whether flows wait nowhere, as far as balancers said.
+  /// Whether no balancer has a backlog.
   pub fn is_empty(&self) -> bool {
     self.backlogs.is_empty()
   }
 
-  /// How many places are kept.
-  pub fn kept(&self) -> u16 {
-    self.kept.len().min(usize::from(u16::MAX)) as u16
+  /// The number of slots that are reserved.
+  pub fn reserved(&self) -> u16 {
+    self.reserved.len().min(usize::from(u16::MAX)) as u16
   }
 
-  /// Grants one place to the balancer where the most flows wait, so that all callers have the same
-  /// chance wherever they come in; none where nobody wants one.
-  pub fn next(&mut self, now: Instant) -> Option<SocketAddrV4> {
+  /// Reserves a slot for the balancer that has the most flows without one, so that callers have the
+  /// same chance at all balancers, and returns the balancer; none where no balancer wants a slot.
+  pub fn grant_next(&mut self, now: Instant) -> Option<SocketAddrV4> {
     let wanting = self.backlogs.iter_mut();
     let wanting = wanting.filter(|(_, backlog)| backlog.wanted() > 0);
     let (balancer, backlog) = wanting.max_by_key(|(_, backlog)| backlog.wanted())?;
     backlog.granted += 1;
     let balancer = *balancer;
-    self.kept.push_back((now + KEPT, balancer));
+    self.reserved.push_back((now + KEPT, balancer));
     Some(balancer)
   }
 
-  /// A flow came from a balancer; whether a place was kept for it.
-  pub fn take(&mut self, balancer: SocketAddrV4) -> bool {
-    let Some(index) = self.kept.iter().position(|(_, other)| *other == balancer) else {
+  /// Uses a slot that is reserved for the balancer; false where there is none.
+  pub fn redeem(&mut self, balancer: SocketAddrV4) -> bool {
+    let mut reserved = self.reserved.iter();
+    let Some(index) = reserved.position(|(_, other)| *other == balancer) else {
       return false;
     };
-    self.kept.remove(index);
+    self.reserved.remove(index);
     if let Some(backlog) = self.backlogs.get_mut(&balancer) {
       backlog.granted = backlog.granted.saturating_sub(1);
       backlog.flows = backlog.flows.saturating_sub(1);
@@ -94,10 +97,10 @@
     true
   }
 
-  /// A balancer says how many flows wait there. Where none does, it gives back its places.
-  pub fn take_backlog(&mut self, now: Instant, balancer: SocketAddrV4, flows: u16) {
+  /// Sets how many flows a balancer has queued. With none, its reserved slots are released.
+  pub fn set_backlog(&mut self, now: Instant, balancer: SocketAddrV4, flows: u16) {
     if flows == 0 {
-      self.kept.retain(|(_, other)| *other != balancer);
+      self.reserved.retain(|(_, other)| *other != balancer);
       self.backlogs.remove(&balancer);
       return;
     }
@@ -114,7 +117,8 @@
     self.backlogs.insert(balancer, backlog);
   }
 
-  fn give_back(&mut self, balancer: SocketAddrV4) {
+  /// Makes the slot of a lapsed grant available to the balancer's backlog again.
+  fn release(&mut self, balancer: SocketAddrV4) {
     if let Some(backlog) = self.backlogs.get_mut(&balancer) {
       backlog.granted = backlog.granted.saturating_sub(1);
     }
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -1,8 +1,8 @@
 use {
   super::{
     cold::Cold,
+    flow_entry::{FlowEntry, FlowState},
     grants::Grants,
-    held::{Held, State},
     work::Work,
   },
   crate::{
@@ -25,61 +25,70 @@
   },
 };
 
-/// How often what is long past is forgotten.
+/// How often idle flows are removed.
 const EXPIRE: Duration = Duration::from_secs(2);
 
-/// How long a flow that the upstream sent back is remembered as absent. It is not given packets of
-/// it again in that time: each counts as a stray.
+/// How long a flow that the upstream bounced is remembered as absent. The upstream is given none of
+/// its packets in that time, since it counts each as a stray.
 const ABSENT_KEPT: Duration = Duration::from_secs(5);
 
-/// A request that was not answered for so long no longer counts as work.
-const WORK_MAX: Duration = Duration::from_secs(10);
+/// A request that is unanswered for so long no longer counts as in flight.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many targets one frame names.
-pub(super) const PAST_MAX: usize = 64;
+/// The most targets that one answer names as possible owners of a flow.
+pub(super) const KNOWN_MAX: usize = 64;
 
-/// What came with a caller's packet.
-pub(super) struct Carried<'a> {
+/// A caller's packet that a balancer has forwarded.
+pub(super) struct CallerPacket<'a> {
+  /// The balancer that is told what became of the packet.
+  pub(super) balancer: SocketAddrV4,
+  pub(super) bytes: &'a [u8],
+  /// The revision up to which the balancer knows the target list.
   pub(super) complete: Revision,
-  pub(super) from: SocketAddrV4,
   pub(super) head: Head,
-  pub(super) packet: &'a [u8],
   pub(super) purpose: Purpose,
+  /// The configuration that the balancer acts on.
   pub(super) version: Version,
 }
 
-/// Decides which packets reach an agent's upstream, and sends the upstream's to the callers.
+/// An agent as a state machine without I/O: delivers callers' packets to its upstream and the
+/// upstream's packets to callers.
 pub struct Machine<C> {
-  /// How long callers take from an opening packet to their first request. Some have gone: an idle
-  /// place was kept for each of them for 0.3 s.
-  pub(super) arrival: Patience,
-  /// Which run of the upstream the list names.
+  /// Opened flows whose first request is expected, with the time until which each counts as a
+  /// request in flight.
+  pub(super) awaiting_request: BTreeSet<(Instant, Flow)>,
+  /// The start time of the upstream's incarnation; none where the target list states none.
   pub(super) born: Option<Born>,
-  /// From when on the data centre is closed to new flows.
-  pub(super) closed: Option<Instant>,
+  /// The port of callers, to which their packets are sent.
+  pub(super) callers_port: u16,
+  /// From when on new flows are refused since the data centre is closed; none while it is open.
+  pub(super) closed_from: Option<Instant>,
   pub(super) codec: C,
   pub(super) cold: Cold,
   pub(super) counter: Arc<Counter>,
   pub(super) data_centre: String,
-  /// Opened flows whose first request is about to come, and until when they count as work.
-  pub(super) expected: BTreeSet<(Instant, Flow)>,
-  pub(super) expired: Instant,
-  pub(super) flows: HashMap<Flow, Held>,
-  /// Until when flows may turn up that this run has not seen opening.
+  /// Adaptive timeout from a flow's opening packet to its first request.
+  pub(super) first_request_timeout: Patience,
+  pub(super) flows: HashMap<Flow, FlowEntry>,
+  /// Until when flows of a previous incarnation may appear that this one does not know.
   pub(super) forgetful_until: Instant,
   pub(super) grants: Grants,
-  /// What the run before had, as balancers tell it.
+  /// The parts of the previous incarnation's handover that have come.
   pub(super) handed: Handover,
+  pub(super) last_expiry: Instant,
+  pub(super) last_report: Instant,
+  /// Whether the upstream is draining: it takes no new flows and keeps its old ones.
   pub(super) leaving: bool,
-  /// When it was last told of the time.
+  /// When due work was last done.
   pub(super) looked: Instant,
-  pub(super) port: u16,
-  pub(super) reported: (Instant, Load),
-  /// How many requests the upstream works on at once; none before the list says so.
+  /// The load that was last sent to balancers.
+  pub(super) reported_load: Load,
+  /// How many requests the upstream works on at once; none before the target list has come.
   pub(super) slots: Option<u16>,
-  /// Whether the process is about to stop.
+  /// Whether the process is shutting down.
   pub(super) stopping: bool,
   pub(super) spread: Spread,
+  /// Flow tests by their deadlines, the earliest first; some may have ended before.
   pub(super) tests: VecDeque<(Instant, Flow)>,
   pub(super) tuning: Tuning,
   pub(super) upstream: Upstream,
@@ -87,7 +96,7 @@
 }
 
 impl<C: Codec> Machine<C> {
-  /// The machine of an agent that has just started beside `upstream`.
+  /// The state of an agent that has just started on the same instance as `upstream`.
   pub fn new(
     now: Instant,
     settings: &Settings,
@@ -104,23 +113,24 @@
       tuning.amnesia
     };
     Self {
-      arrival: Patience::new(tuning.expected.0, tuning.expected.1),
+      awaiting_request: BTreeSet::new(),
       born: None,
-      closed: None,
+      callers_port: settings.callers.port(),
+      closed_from: None,
       codec,
       cold: Cold::new(now, settings.first_start),
       counter,
       data_centre: settings.data_centre.clone(),
-      expected: BTreeSet::new(),
-      expired: now,
+      first_request_timeout: Patience::new(tuning.expected.0, tuning.expected.1),
       flows: HashMap::new(),
       forgetful_until: now + forgetful,
       grants: Grants::default(),
       handed: Handover::default(),
+      last_expiry: now,
+      last_report: now,
       leaving: false,
       looked: now,
-      port: settings.callers.port(),
-      reported: (now, Load::default()),
+      reported_load: Load::default(),
       slots: None,
       stopping: false,
       spread,
@@ -131,6 +141,11 @@
     }
   }
 
+  /// Takes a frame of another process and sends the answers to it.
+  ///
+  /// # Errors
+  ///
+  /// A code where the frame or the packet in it can't be read, or is meant for another target.
   pub(super) fn take_frame(
     &mut self,
     now: Instant,
@@ -140,7 +155,7 @@
   ) -> Result<(), Code> {
     let (frame, packet) = Frame::decode(bytes)?;
     if self.spread.is_new(from) {
-      // Who speaks first may hold packets until it knows that this run is there.
+      // A balancer may buffer packets until it knows that this incarnation has started.
       let load = self.load(now);
       self.spread.greet(now, Role::Agent(load), from, out);
     }
@@ -149,24 +164,24 @@
         complete,
         flows,
         services,
-      } => self.asked(now, from, &flows, &services, complete, out),
-      Frame::Backlog { flows, service } => self.take_backlog(now, from, flows, service),
+      } => self.answer_query(now, from, &flows, &services, complete, out),
+      Frame::Backlog { flows, service } => self.set_backlog(now, from, flows, service),
       Frame::Carry {
         complete,
         purpose,
         service,
         version,
       } => {
-        let carried = self.carried(from, packet, purpose, complete, version)?;
-        self.carry(now, &carried, service, out)
+        let packet = self.read_caller_packet(from, packet, purpose, complete, version)?;
+        self.forward(now, &packet, service, out)
       }
       Frame::Fan {
         agents,
         complete,
         version,
       } => {
-        let carried = self.carried(from, packet, Purpose::Test, complete, version)?;
-        self.fan_out(now, &carried, &agents, out)
+        let packet = self.read_caller_packet(from, packet, Purpose::Test, complete, version)?;
+        self.fan_out(now, &packet, &agents, out)
       }
       Frame::Try {
         balancer,
@@ -174,15 +189,15 @@
         service,
         version,
       } => {
-        let carried = self.carried(balancer, packet, Purpose::Test, complete, version)?;
-        self.carry(now, &carried, service, out)
+        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, complete, version)?;
+        self.forward(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
         self.handed(now, from, flows, part, parts);
         Ok(())
       }
       Frame::Held { flows } => {
-        self.reminded(now, from, &flows);
+        self.restore_flows(now, from, &flows);
         Ok(())
       }
       Frame::News(news) => {
@@ -197,40 +212,43 @@
     }
   }
 
-  /// What came with a caller's packet that is meant for the upstream.
-  fn carried<'a>(
+  /// Reads the head of a caller's packet that `balancer` has forwarded.
+  fn read_caller_packet<'a>(
     &self,
-    from: SocketAddrV4,
-    packet: &'a [u8],
+    balancer: SocketAddrV4,
+    bytes: &'a [u8],
     purpose: Purpose,
     complete: Revision,
     version: Version,
-  ) -> Result<Carried<'a>, Code> {
-    Ok(Carried {
+  ) -> Result<CallerPacket<'a>, Code> {
+    Ok(CallerPacket {
+      balancer,
+      bytes,
       complete,
-      from,
-      head: self.codec.read_from_caller(packet)?,
-      packet,
+      head: self.codec.read_from_caller(bytes)?,
       purpose,
       version,
     })
   }
 
+  /// Applies an update of the platform's records.
   pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
     let first = self.spread.catalog().complete() == Revision::default();
     let change = self.spread.news(now, origin, news, out);
     if first {
-      // What it says of the upstream may be from before this start.
-      self.cold.list(self.spread.catalog().complete());
+      // The first list may have been written before this start.
+      self.cold.extend_suspicion(self.spread.catalog().complete());
     }
-    self.changed(now, &change);
+    self.apply_change(now, &change);
   }
 
-  pub(super) fn changed(&mut self, now: Instant, change: &Change) {
+  /// Applies a change of the catalog to the upstream's state: slots, draining, warm-up,
+  /// incarnation.
+  pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
     if change.is_empty() {
       return;
     }
-    self.reconsider(now);
+    self.update_admission(now);
     let Some((id, entry)) = self.spread.catalog().at(self.upstream.address) else {
       return;
     };
@@ -241,16 +259,17 @@
       || entry.target.service != self.upstream.service;
     let leaving = leaving || self.stopping;
     if leaving != self.leaving {
-      log::info!(target:% = id, leaving = leaving; "agent: the list says whether it leaves.");
+      log::info!(target:% = id, leaving = leaving; "agent: upstream started or stopped draining.");
       self.leaving = leaving;
     }
-    let before = self.born;
-    self.born = born.max(before);
-    if before.is_some() && self.born > before {
+    let previous = self.born;
+    self.born = born.max(previous);
+    if previous.is_some() && self.born > previous {
       self.reborn();
     }
   }
 
+  /// The load that is reported to balancers.
   pub(super) fn load(&self, now: Instant) -> Load {
     Load {
       room: self.room(now),
@@ -258,11 +277,13 @@
     }
   }
 
-  /// How many requests the upstream works on at once; one where that is not known.
+  /// How many requests the upstream works on at once; one before the target list has come.
   pub(super) fn slots(&self) -> u16 {
     self.slots.unwrap_or(1)
   }
 
+  /// Does what is due: ends tests, drops counted requests that did not come, removes idle flows and
+  /// reports the load.
   pub(super) fn look(&mut self, now: Instant, out: &mut Outbox) {
     self.looked = now;
     while let Some((deadline, flow)) = self.tests.front().copied() {
@@ -270,61 +291,63 @@
         break;
       }
       self.tests.pop_front();
-      self.kept(flow, deadline, out);
+      self.conclude_test(flow, deadline, out);
     }
-    while let Some((deadline, flow)) = self.expected.first().copied() {
+    while let Some((deadline, flow)) = self.awaiting_request.first().copied() {
       if deadline > now {
         break;
       }
-      self.expected.pop_first();
+      self.awaiting_request.pop_first();
       if let Some(entry) = self.flows.get_mut(&flow)
-        && std::mem::take(&mut entry.expected)
+        && std::mem::take(&mut entry.awaits_request)
       {
-        self.work.ended();
+        self.work.end();
       }
     }
-    if now >= self.expired + EXPIRE {
-      self.expired = now;
+    if now >= self.last_expiry + EXPIRE {
+      self.last_expiry = now;
       self.expire(now);
     }
-    self.work.forget(now);
+    self.work.expire_measurements(now);
     let load = self.load(now);
     let role = Role::Agent(load);
-    let (reported, before) = self.reported;
+    let before = self.reported_load;
     let changed =
       load.work != before.work || load.down != before.down || load.is_full(0) != before.is_full(0);
-    if now >= self.spread.deadline() || (changed && now >= reported + self.tuning.report) {
-      self.reported = (now, load);
+    if now >= self.spread.deadline() || (changed && now >= self.last_report + self.tuning.report) {
+      self.last_report = now;
+      self.reported_load = load;
       self.spread.tell_now(now, role, out);
     }
   }
 
+  /// Removes flows that were idle for too long, and stops counting requests that are overdue.
   pub(super) fn expire(&mut self, now: Instant) {
     let idle = self.spread.idle();
     let work = &mut self.work;
     self.flows.retain(|_, entry| {
-      let rest = now.saturating_duration_since(entry.seen);
-      let kept = match entry.state {
-        State::Absent => ABSENT_KEPT,
+      let idle_for = now.saturating_duration_since(entry.last_packet);
+      let ttl = match entry.state {
+        FlowState::Absent => ABSENT_KEPT,
         _ => idle,
       };
       let overdue = entry
-        .waits
-        .is_some_and(|since| now.saturating_duration_since(since) >= WORK_MAX);
-      let counted = entry.expected || entry.waits.is_some();
-      if counted && (overdue || rest >= kept) {
-        entry.expected = false;
-        entry.waits = None;
-        work.ended();
+        .unanswered_since
+        .is_some_and(|since| now.saturating_duration_since(since) >= REQUEST_TIMEOUT);
+      let counted = entry.awaits_request || entry.unanswered_since.is_some();
+      if counted && (overdue || idle_for >= ttl) {
+        entry.awaits_request = false;
+        entry.unanswered_since = None;
+        work.end();
       }
-      rest < kept
+      idle_for < ttl
     });
     self.spread.expire(now);
   }
 
-  /// Whether the load differs from what was told.
+  /// Whether the load differs from the one that was last reported.
   fn load_changed(&self) -> bool {
-    let (_, reported) = self.reported;
+    let reported = self.reported_load;
     let full = self.room(self.looked) == Some(0);
     self.work.under_way() != reported.work || full != reported.is_full(0)
   }
@@ -338,11 +361,11 @@
   fn deadline(&self) -> Instant {
     let test = self.tests.front().map(|(deadline, _)| *deadline);
     let grant = self.grants.deadline();
-    let expected = self.expected.first().map(|(deadline, _)| *deadline);
+    let request = self.awaiting_request.first().map(|(deadline, _)| *deadline);
     let status = self.spread.deadline();
-    let report = (self.load_changed()).then_some(self.reported.0 + self.tuning.report);
+    let report = (self.load_changed()).then_some(self.last_report + self.tuning.report);
     let room = self.cold.deadline(self.looked, self.warmup());
-    [expected, grant, report, room, test]
+    [grant, report, request, room, test]
       .into_iter()
       .flatten()
       .fold(status, Instant::min)
@@ -354,7 +377,7 @@
       "flows": self.flows.len(),
       "forgetful_ms": forgetful.as_millis() as u64,
       "closed": self.is_closed(now),
-      "granted": self.grants.kept(),
+      "granted": self.grants.reserved(),
       "leaving": self.leaving,
       "load": self.load(now),
       "slots": self.slots,
@@ -379,8 +402,8 @@
     taken
   }
 
-  /// Whether the upstream has answered all that it was asked: an answer that comes after the end is
-  /// lost, and comes again late.
+  /// Whether the upstream has answered all requests: an answer that comes after the end is lost
+  /// until it is retransmitted.
   fn is_quiet(&self) -> bool {
     self.work.under_way() == 0
   }
@@ -400,7 +423,7 @@
   }
 
   fn stop(&mut self, now: Instant, _: &mut Outbox) {
-    self.stopped(now);
+    self.begin_shutdown(now);
   }
 
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -1,10 +1,10 @@
-//! What an agent leaves to its next run, what its run before has left, and what it forgets when its
-//! upstream starts again.
+//! Hands the flows over to the agent's next incarnation, restores those of the previous one, and
+//! discards what is outdated when the upstream restarts.
 
 use {
   super::{
+    flow_entry::{FlowEntry, FlowState},
     grants::Grants,
-    held::{Held, State},
     machine::Machine,
     work::Work,
   },
@@ -13,15 +13,16 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// A balancer says which flows this agent had before it started again, as far as it knows.
-  pub(super) fn reminded(&mut self, now: Instant, from: SocketAddrV4, flows: &[Flow]) {
+  /// Restores flows that a balancer knows to be at this agent.
+  pub(super) fn restore_flows(&mut self, now: Instant, from: SocketAddrV4, flows: &[Flow]) {
     for flow in flows {
-      let before = Held::new(now, State::Open, Some(from));
-      self.flows.entry(*flow).or_insert(before);
+      let restored = FlowEntry::new(now, FlowState::Open, Some(from));
+      self.flows.entry(*flow).or_insert(restored);
     }
   }
 
-  /// A balancer hands on which flows the run before had.
+  /// Restores flows from a part of the previous incarnation's handover. Once all parts have come,
+  /// no flow is unknown any more.
   pub(super) fn handed(
     &mut self,
     now: Instant,
@@ -30,57 +31,61 @@
     part: u16,
     parts: u16,
   ) {
-    for passed in &flows {
-      let fresh = || Held::new(now, State::Opening, Some(from));
-      let entry = self.flows.entry(passed.flow).or_insert_with(fresh);
-      entry.take_passed(passed);
+    for record in &flows {
+      let fresh = || FlowEntry::new(now, FlowState::Opening, Some(from));
+      let entry = self.flows.entry(record.flow).or_insert_with(fresh);
+      entry.restore(record);
     }
     if now < self.forgetful_until && self.handed.take(now, part, parts, flows) {
-      log::info!(from:% = from, flows = self.flows.len(); "agent: all flows are known again.");
+      log::info!(
+        from:% = from, flows = self.flows.len();
+        "agent: received all flows of the previous incarnation."
+      );
       self.forgetful_until = now;
     }
   }
 
-  /// Takes no new flows; those that are here go on until the end.
-  pub(super) fn stopped(&mut self, now: Instant) {
+  /// Begins a graceful shutdown: new flows are refused, known flows are served until the end.
+  pub(super) fn begin_shutdown(&mut self, now: Instant) {
     self.spread.stop(now);
     self.leaving = true;
     self.stopping = true;
   }
 
-  /// Hands the flows to balancers, for the next run. Nothing passes after this: a flow that were
-  /// opened later would be missing from the list, and the next run would deny it.
+  /// Sends the flows to balancers, which keep them for the next incarnation. No packet may be
+  /// forwarded after this: a flow that opened later would be missing from the handover, and the
+  /// next incarnation would report it absent.
   pub(super) fn hand_over(&mut self, now: Instant, out: &mut Outbox) {
-    let held = self.flows.iter();
-    let passed = held.filter_map(|(flow, entry)| entry.passed(*flow));
-    let handover = Handover::new(passed.collect());
-    let tested = |entry: &Held| matches!(entry.state, State::Tested { .. });
-    let whole = now >= self.forgetful_until && !self.flows.values().any(tested);
+    let entries = self.flows.iter();
+    let records = entries.filter_map(|(flow, entry)| entry.flow_record(*flow));
+    let handover = Handover::new(records.collect());
+    let is_tested = |entry: &FlowEntry| matches!(entry.state, FlowState::Tested { .. });
+    let whole = now >= self.forgetful_until && !self.flows.values().any(is_tested);
     let mut balancers = BTreeSet::from_iter(self.spread.balancers(now));
     if !self.spread.knows_all() {
-      // Those that do not keep in touch, and send packets of flows that are here.
+      // Balancers that exchange no heartbeats with this agent, but forward packets to it.
       balancers.extend(self.flows.values().filter_map(|entry| entry.balancer));
     }
     log::info!(
       flows = self.flows.len(), whole = whole, balancers = balancers.len();
-      "agent: flows are handed over."
+      "agent: handover was sent to balancers."
     );
     for balancer in balancers {
       handover.send(now, whole, balancer, out);
     }
   }
 
-  /// The upstream has started again: what was learnt of the run before says nothing of this one. Its
-  /// flows show when their next packets are sent back; those that were opened since are not told
-  /// from them.
+  /// Discards what was learnt from the upstream's previous incarnation, as the upstream has
+  /// restarted. The flows stay until the upstream bounces their packets, since some may have been
+  /// opened after the restart.
   pub(super) fn reborn(&mut self) {
-    log::info!(flows = self.flows.len(); "agent: upstream has started again.");
+    log::info!(flows = self.flows.len(); "agent: upstream has restarted.");
     self.work = Work::default();
     self.grants = Grants::default();
-    self.expected.clear();
+    self.awaiting_request.clear();
     for entry in self.flows.values_mut() {
-      entry.expected = false;
-      entry.waits = None;
+      entry.awaits_request = false;
+      entry.unanswered_since = None;
     }
   }
 }
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -3,189 +3,202 @@
   std::time::{Duration, Instant},
 };
 
-/// The weight of the newest request in the means.
-const NEWEST: f64 = 0.05;
+/// Weight of the newest request in the moving averages.
+const MEAN_WEIGHT: f64 = 0.05;
 
-/// An answer that takes less than this part of what answers usually take most likely is an error: an
-/// upstream that fails a request does no work for it. Few good ones are as quick, and at all upstreams
-/// alike.
-const QUICK_PART: f64 = 0.2;
+/// An answer that takes less than this part of the usual time counts as an error: an upstream that
+/// fails a request does no work for it.
+const ERROR_TIME_RATIO: f64 = 0.2;
 
-/// The weight of the newest answer in the share of failed ones: a few in a row show.
-const FAILED_NEWEST: f64 = 0.1;
+/// Weight of the newest answer in the share of errors, so that a few errors in a row show.
+const FAILED_WEIGHT: f64 = 0.1;
 
-/// The weights of an answer that took longer than usual, and of one that took less: most take less, so
-/// that quick ones hardly change what is usual.
-const USUAL: (f64, f64) = (0.2, 0.02);
+/// Weight of an answer that took longer than the usual time.
+const USUAL_WEIGHT_LONGER: f64 = 0.2;
 
-/// An upstream that leaves opening packets unanswered for so long does not serve.
-const SILENT: Duration = Duration::from_millis(60);
+/// Weight of an answer that took no longer than the usual time: small, so that the usual time stays
+/// near the longest answers.
+const USUAL_WEIGHT_SHORTER: f64 = 0.02;
 
-/// How long a measure counts without a newer one.
-const MEASURED: Duration = Duration::from_secs(3);
+/// An upstream that leaves an opening packet unanswered for so long is down.
+const DOWN_AFTER: Duration = Duration::from_millis(60);
 
-/// After so many requests in a row that it broke off, and no answer between, an upstream does not
-/// serve. One that is well breaks some off, such as those that cross the end of their flow.
-const BROKEN: u32 = 3;
+/// Measurements are dropped when no newer one has come for so long.
+const MEASUREMENT_TTL: Duration = Duration::from_secs(3);
 
-/// How long such an upstream is given nothing: the first time, and the longest; twice as long each
-/// time that it breaks off the request it is then tried with.
-const REST: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(2));
+/// So many consecutive resets, without an answer between them, open the circuit. A healthy upstream
+/// resets some requests, such as those that cross the end of their flow.
+const RESETS_TO_OPEN: u32 = 3;
 
-/// What an upstream has to do, as its agent counts it.
+/// How long the circuit stays open at first; the time doubles with each reset of a trial request.
+const OPEN_FOR_MIN: Duration = Duration::from_millis(500);
+
+/// The longest time for which the circuit stays open.
+const OPEN_FOR_MAX: Duration = Duration::from_secs(2);
+
+/// The requests in flight at an agent's upstream, what its answers tell of its health, and the
+/// circuit breaker that stops new flows while the upstream resets its requests.
 #[derive(Debug, Default)]
 pub struct Work {
-  /// How many requests in a row it broke off.
-  broken: u32,
+  /// Moving average of the bytes of a request and its answer.
   bytes: f64,
-  /// The share of requests that it most likely failed.
+  /// Requests that were reset since the last answer.
+  consecutive_resets: u32,
+  /// The share of answers that were most likely errors.
   failed: f64,
-  /// Until when it is given nothing.
-  rests: Option<Instant>,
+  /// When the last request was answered; none once the measurements have been dropped.
+  last_measured: Option<Instant>,
+  /// Until when the circuit is open; none while it is closed. It is half open after that.
+  open_until: Option<Instant>,
+  /// How many requests the average of `service_ms` covers.
   samples: u32,
-  /// When the last request was answered.
-  measured: Option<Instant>,
-  /// Since when an opening packet is unanswered.
-  silent: Option<Instant>,
+  /// Moving average of the time of a request that did not wait for a slot, in milliseconds.
   service_ms: f64,
+  /// When the first opening packet since the upstream's last packet was sent.
+  unanswered_since: Option<Instant>,
   under_way: u16,
-  /// What most answers do not exceed, in milliseconds.
+  /// A high quantile of the times of answers, in milliseconds.
   usual_ms: f64,
 }
 
 impl Work {
-  /// A request has begun.
-  pub fn begun(&mut self) {
+  /// Counts a request as in flight.
+  pub fn begin(&mut self) {
     self.under_way = self.under_way.saturating_add(1);
   }
 
-  /// A request has ended, answered or not.
-  pub fn ended(&mut self) {
+  /// Counts a request as no longer in flight, answered or not.
+  pub fn end(&mut self) {
     self.under_way = self.under_way.saturating_sub(1);
   }
 
-  /// A request was answered after `time`, when `ahead` others were there before it. Its time is not
-  /// measured where the slots are not known yet: waiting would be taken for work, and a target of 4
-  /// slots, said to answer in 6 ms instead of 53, was given 904 of 1,288 new flows (by the logs).
-  pub fn answered(&mut self, now: Instant, time: Duration, ahead: u16, slots: Option<u16>) {
-    self.broken = 0;
-    self.rests = None;
+  /// Ends a request that was answered after `time` and closes the circuit. `ahead` requests were
+  /// in flight when it arrived. Without `slots` the time is not measured, since the time spent in
+  /// the queue can't be told from the service time.
+  pub fn record_answer(&mut self, now: Instant, time: Duration, ahead: u16, slots: Option<u16>) {
+    self.consecutive_resets = 0;
+    self.open_until = None;
     if let Some(slots) = slots {
       self.measure(now, time, ahead, slots);
     }
-    self.ended();
+    self.end();
   }
 
-  /// The upstream broke a request off.
-  pub fn broken_off(&mut self, now: Instant) {
-    self.broken = self.broken.saturating_add(1);
-    if let Some(times) = self.broken.checked_sub(BROKEN) {
-      let rest = REST.0.saturating_mul(1 << times.min(8));
-      self.rests = Some(now + rest.min(REST.1));
+  /// Ends a request that the upstream reset, and opens the circuit after too many of these.
+  pub fn record_reset(&mut self, now: Instant) {
+    self.consecutive_resets = self.consecutive_resets.saturating_add(1);
+    if let Some(doublings) = self.consecutive_resets.checked_sub(RESETS_TO_OPEN) {
+      let open_for = OPEN_FOR_MIN.saturating_mul(1 << doublings.min(8));
+      self.open_until = Some(now + open_for.min(OPEN_FOR_MAX));
     }
-    self.ended();
+    self.end();
   }
 
-  /// Whether the upstream may be given a new flow. One that breaks requests off rests, and is then
-  /// tried with one flow at a time: three of 63 targets that went up and down lost 5 requests in
-  /// 5.5 s instead of 68 (by what callers saw).
-  pub fn admits(&mut self, now: Instant) -> bool {
-    let admits = !self.rests(now);
-    if admits && self.rests.is_some() {
-      // The next is tried even if this one is never answered.
-      self.rests = Some(now + REST.0);
+  /// Whether the circuit breaker lets a new flow through. A half-open circuit lets one through as a
+  /// trial and is open again at once.
+  pub fn allows(&mut self, now: Instant) -> bool {
+    let allows = !self.is_open(now);
+    if allows && self.open_until.is_some() {
+      // Bounds the wait for a trial that is never answered.
+      self.open_until = Some(now + OPEN_FOR_MIN);
     }
-    admits
+    allows
   }
 
-  fn rests(&self, now: Instant) -> bool {
-    self.rests.is_some_and(|until| now < until)
+  fn is_open(&self, now: Instant) -> bool {
+    self.open_until.is_some_and(|until| now < until)
   }
 
   fn measure(&mut self, now: Instant, time: Duration, ahead: u16, slots: u16) {
-    self.forget(now);
-    self.measured = Some(now);
+    self.expire_measurements(now);
+    self.last_measured = Some(now);
     let slots = f64::from(slots);
     let queue = (f64::from(ahead) + 1.0 - slots).max(0.0);
     let ms = time.as_secs_f64() * 1000.0 / (1.0 + queue / slots);
     self.samples = self.samples.saturating_add(1);
-    let weight = NEWEST.max(1.0 / f64::from(self.samples));
+    let weight = MEAN_WEIGHT.max(1.0 / f64::from(self.samples));
     self.service_ms += weight * (ms - self.service_ms);
-    self.judge(ms);
-  }
-
-  /// Tells an answer that most likely is an error from a good one.
-  fn judge(&mut self, ms: f64) {
-    let quick = ms < self.usual_ms * QUICK_PART;
-    self.failed += FAILED_NEWEST * (f64::from(u8::from(quick)) - self.failed);
-    let (longer, shorter) = USUAL;
-    let weight = if ms > self.usual_ms { longer } else { shorter };
+    self.update_failed(ms);
+  }
+
+  /// Updates the share of errors and the usual time from the service time of an answer.
+  fn update_failed(&mut self, ms: f64) {
+    let is_error = ms < self.usual_ms * ERROR_TIME_RATIO;
+    self.failed += FAILED_WEIGHT * (f64::from(u8::from(is_error)) - self.failed);
+    let weight = if ms > self.usual_ms {
+      USUAL_WEIGHT_LONGER
+    } else {
+      USUAL_WEIGHT_SHORTER
+    };
     self.usual_ms += weight * (ms - self.usual_ms);
   }
 
-  /// The time until a request more would be answered, in milliseconds.
+  /// The expected time until one more request would be answered, in milliseconds.
   pub fn wait_ms(&self, slots: u16) -> f64 {
     wait_ms(self.service_ms, self.under_way, slots)
   }
 
-  /// Forgets what was measured long ago, so that a target which was given nothing for what it did
-  /// gets another chance.
-  pub fn forget(&mut self, now: Instant) {
-    let old = |at: Instant| now.saturating_duration_since(at) >= MEASURED;
-    if self.measured.is_some_and(old) {
-      self.measured = None;
+  /// Drops measurements that are too old, so that a target which gets no flows because of them gets
+  /// some again.
+  pub fn expire_measurements(&mut self, now: Instant) {
+    let is_old = |at: Instant| now.saturating_duration_since(at) >= MEASUREMENT_TTL;
+    if self.last_measured.is_some_and(is_old) {
+      self.last_measured = None;
       self.samples = 0;
       self.service_ms = 0.0;
       self.failed = 0.0;
     }
   }
 
-  /// A flow has ended that moved so many bytes in so many requests.
-  pub fn moved(&mut self, bytes: f64) {
-    self.bytes = blend(self.bytes, bytes);
+  /// Adds the bytes of a request and its answer to their average.
+  pub fn record_bytes(&mut self, bytes: f64) {
+    self.bytes = moving_average(self.bytes, bytes);
   }
 
-  /// The upstream was given an opening packet.
-  pub fn asked(&mut self, now: Instant) {
-    self.silent.get_or_insert(now);
+  /// Starts the timer after which an upstream that sends no packet is down, unless it runs already.
+  pub fn await_answer(&mut self, now: Instant) {
+    self.unanswered_since.get_or_insert(now);
   }
 
-  /// The upstream said something; whether it did not serve until then.
+  /// Stops the timer of `await_answer`, as the upstream sent a packet; true if it was down until
+  /// then.
   pub fn heard(&mut self, now: Instant) -> bool {
-    let silent = self.silent.take();
-    silent.is_some_and(|since| now.saturating_duration_since(since) >= SILENT)
+    let unanswered = self.unanswered_since.take();
+    unanswered.is_some_and(|since| now.saturating_duration_since(since) >= DOWN_AFTER)
   }
 
-  /// How many requests are under way.
+  /// The number of requests in flight.
   pub fn under_way(&self) -> u16 {
     self.under_way
   }
 
-  /// What others are told.
+  /// The load that is reported to balancers, without its `room`; `flows` is the number of known
+  /// flows.
   pub fn load(&self, now: Instant, flows: usize) -> Load {
     let down = self
-      .silent
-      .is_some_and(|since| now.saturating_duration_since(since) >= SILENT);
+      .unanswered_since
+      .is_some_and(|since| now.saturating_duration_since(since) >= DOWN_AFTER);
     Load {
-      bytes: whole(self.bytes) as u32,
-      down: down || self.rests(now),
+      bytes: to_count(self.bytes) as u32,
+      down: down || self.is_open(now),
       failed: (self.failed * 100.0) as u8,
       flows: flows.min(usize::from(u16::MAX)) as u16,
       room: None,
-      service_ms: whole(self.service_ms) as u16,
+      service_ms: to_count(self.service_ms) as u16,
       work: self.under_way,
     }
   }
 }
 
-/// A mean as a count; none of them is negative.
-fn whole(mean: f64) -> u64 {
+/// Rounds an average, which is never negative, to a count that fits 16 bits.
+fn to_count(mean: f64) -> u64 {
   mean.round().abs().min(f64::from(u16::MAX)) as u64
 }
 
-fn blend(mean: f64, newest: f64) -> f64 {
+/// The moving average after `newest`, which is the first sample where `mean` is 0.
+fn moving_average(mean: f64, newest: f64) -> f64 {
   if mean == 0.0 {
     return newest;
   }
-  mean + NEWEST * (newest - mean)
+  mean + MEAN_WEIGHT * (newest - mean)
 }
