--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -1,4 +1,5 @@
-//! An agent delivers what is its upstream's, and says no only where it knows.
+//! An agent delivers the packets of its upstream's flows, and reports a flow absent only when that
+//! is certain.
 
 use {
   crate::{
@@ -24,8 +25,10 @@
 
 const BALANCER: u8 = 1;
 
-/// What an agent of these tests knows the list up to: all of it, or nothing.
+/// The revision of an agent that has received no target list.
 const NOTHING: Revision = Revision(0);
+
+/// The revision of the target list that the agents of these tests receive.
 const KNOWN: Revision = Revision(2);
 
 fn carry(purpose: Purpose, service: &str, version: u64) -> Frame {
@@ -42,7 +45,8 @@
   agent.frame(BALANCER, &carry(purpose, "a", 1), &packet.write())
 }
 
-/// An agent that knows the list, and whose upstream has opened a flow with sequence number 100.
+/// An agent that has the target list, and whose upstream has opened a flow with sequence number
+/// 100.
 fn with_flow(first_start: bool) -> (Agent, Flow) {
   let mut agent = agent_of(first_start);
   let flow = flow(40_001, 1);
@@ -65,7 +69,7 @@
   }
 }
 
-fn is_told(sent: &[Sent], expected: &Frame) -> bool {
+fn is_sent(sent: &[Sent], expected: &Frame) -> bool {
   sent.iter().any(
     |sent| matches!(sent, Sent::Frame(to, frame, _) if *to == peer(BALANCER) && frame == expected),
   )
@@ -82,13 +86,13 @@
 }
 
 #[test]
-fn a_flow_that_another_target_opened_is_not_here() {
+fn a_flow_that_another_target_opened_is_absent() {
   let mut agent = Stepped::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
   let sent = deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 2, 777));
-  assert!(is_told(&sent, &absent(flow, NOTHING)), "{sent:?}");
+  assert!(is_sent(&sent, &absent(flow, NOTHING)), "{sent:?}");
   assert!(!sent.iter().any(|sent| matches!(sent, Sent::Upstream(_))));
 }
 
@@ -107,7 +111,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_opening_packet() {
+fn a_draining_upstream_gets_no_opening_packet() {
   let (mut agent, open) = with_flow(true);
   agent.platform(news(
     Some(2),
@@ -119,13 +123,13 @@
     &sent[..],
     [Sent::Frame(_, Frame::Refused(_, Refusal::Leaving, _), _)]
   );
-  // The flow that it has goes on.
+  // Packets of its open flow are still delivered.
   let sent = deliver(&mut agent, Purpose::Deliver, Packet::data(open, 3, 101));
   assert_eq!(sent, [Sent::Upstream(Packet::data(open, 3, 101))]);
 }
 
 #[test]
-fn an_upstream_that_left_the_list_gets_no_opening_packet() {
+fn an_upstream_that_was_removed_from_the_list_gets_no_opening_packet() {
   let (mut agent, _) = with_flow(true);
   agent.platform(news(Some(2), 3, &[unlisted(3, "up")]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
@@ -136,7 +140,7 @@
 }
 
 #[test]
-fn an_opening_packet_for_a_route_dropped_since_is_not_taken() {
+fn an_opening_packet_for_a_route_without_the_service_is_dropped() {
   let (mut agent, _) = with_flow(true);
   agent.platform(news(Some(2), 3, &[configured(3, 2, &[])]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
@@ -144,36 +148,36 @@
 }
 
 #[test]
-fn an_agent_that_knows_all_flows_says_no_without_its_upstream() {
+fn an_agent_that_knows_all_flows_reports_absent_without_a_test() {
   let (mut agent, _) = with_flow(true);
   let other = flow(40_002, 1);
   let packet = Packet::data(other, 5, 6);
   let sent = deliver(&mut agent, Purpose::Test, packet);
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, KNOWN), vec![])]);
-  // Where the packet was sent to be delivered, it comes back.
+  // A packet that was to be delivered is returned.
   let sent = deliver(&mut agent, Purpose::Deliver, packet);
   let back = packet.write();
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, KNOWN), back)]);
 }
 
 #[test]
-fn an_agent_that_has_just_started_asks_its_upstream_before_it_says_no() {
+fn an_agent_that_has_just_started_tests_a_flow_before_it_reports_absent() {
   let mut agent = Stepped::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let packet = Packet::data(flow, 5, 6);
   let sent = deliver(&mut agent, Purpose::Test, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
-  // One packet is enough.
+  // One packet is enough for a test.
   assert_eq!(deliver(&mut agent, Purpose::Test, packet), []);
   let sent = agent.packet(packet.returned());
   assert_eq!(sent, [Sent::Frame(peer(1), absent(flow, NOTHING), vec![])]);
-  // It is not asked again: each packet counts as a stray there.
+  // The upstream is given no more packets of the flow, since it counts each as a stray.
   let sent = deliver(&mut agent, Purpose::Test, packet);
   assert_eq!(sent, [Sent::Frame(peer(1), absent(flow, NOTHING), vec![])]);
 }
 
-/// Asks for flows whose callers last acknowledged `acknowledges`.
-fn ask(agent: &mut Agent, flows: &[Flow], acknowledges: u32, service: &str) -> Vec<Sent> {
+/// Queries flows whose callers last acknowledged `acknowledges`.
+fn query(agent: &mut Agent, flows: &[Flow], acknowledges: u32, service: &str) -> Vec<Sent> {
   let service = service.parse::<Service>().expect("a name");
   let flows = flows.iter().map(|flow| (*flow, acknowledges));
   let frame = Frame::Ask {
@@ -185,10 +189,10 @@
 }
 
 #[test]
-fn an_agent_that_knows_all_flows_answers_a_question_without_its_upstream() {
+fn an_agent_that_knows_all_flows_answers_a_query_without_a_test() {
   let (mut agent, here) = with_flow(true);
   let (one, other) = (flow(40_002, 1), flow(40_003, 1));
-  let sent = ask(&mut agent, &[one, here, other], 101, "a");
+  let sent = query(&mut agent, &[one, here, other], 101, "a");
   let absent = Frame::Absent {
     flows: vec![one, other],
     known: Known {
@@ -205,34 +209,35 @@
 }
 
 #[test]
-fn a_flow_whose_answer_was_acknowledged_is_here_before_its_first_packet() {
+fn a_flow_whose_answer_was_acknowledged_is_found_before_its_first_packet() {
   let mut agent = Stepped::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
-  let sent = ask(&mut agent, &[flow], 101, "a");
-  assert!(is_told(&sent, &found(flow)), "{sent:?}");
-  let sent = ask(&mut agent, &[flow], 777, "a");
-  assert!(is_told(&sent, &absent(flow, NOTHING)), "{sent:?}");
+  let sent = query(&mut agent, &[flow], 101, "a");
+  assert!(is_sent(&sent, &found(flow)), "{sent:?}");
+  let sent = query(&mut agent, &[flow], 777, "a");
+  assert!(is_sent(&sent, &absent(flow, NOTHING)), "{sent:?}");
 }
 
-/// What an agent says of where else a flow may be to an asker that knows the list up to a revision.
-fn known_to(agent: &mut Agent, asker: u64) -> Known {
-  let ask = Frame::Ask {
+/// The other targets that an agent names to a balancer that knows the target list up to revision
+/// `asker`.
+fn targets_named_to(agent: &mut Agent, asker: u64) -> Known {
+  let query = Frame::Ask {
     complete: Revision(asker),
     flows: vec![(flow(40_009, 1), 6)],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
-  let sent = agent.frame(BALANCER, &ask, &[]);
+  let sent = agent.frame(BALANCER, &query, &[]);
   let known = sent.into_iter().find_map(|sent| match sent {
     Sent::Frame(_, Frame::Absent { known, .. }, _) => Some(known),
     _ => None,
   });
-  known.expect("a no")
+  known.expect("flow is absent")
 }
 
 #[test]
-fn an_agent_names_what_the_asker_does_not_know_and_asks_no_more_of_it() {
+fn an_agent_names_targets_unknown_to_the_asker_and_requires_no_later_list() {
   let (mut agent, _) = with_flow(true);
   let records = [
     listed(3, "up-10", 10, "a", Presence::Live),
@@ -240,56 +245,56 @@
     listed(5, "up-20", 20, "b", Presence::Live),
   ];
   agent.platform(news(Some(2), 5, &records));
-  let known = known_to(&mut agent, 3);
+  let known = targets_named_to(&mut agent, 3);
   assert_eq!(known.past, [(upstream(11), 0)]);
   assert_eq!(known.complete, Revision(3));
-  assert_eq!(known_to(&mut agent, 9).complete, Revision(5));
+  assert_eq!(targets_named_to(&mut agent, 9).complete, Revision(5));
 }
 
 #[test]
-fn an_agent_that_cannot_name_all_asks_for_the_list() {
+fn an_agent_that_cannot_name_all_targets_requires_its_own_revision() {
   let (mut agent, _) = with_flow(true);
   let records = (3..100).map(|host| {
     let id = format!("up-{host}");
     listed(host, &id, host as u8, "a", Presence::Live)
   });
   agent.platform(news(Some(2), 99, &records.collect::<Vec<_>>()));
-  assert_eq!(known_to(&mut agent, 2).complete, Revision(99));
-  assert_eq!(known_to(&mut agent, 90).complete, Revision(90));
+  assert_eq!(targets_named_to(&mut agent, 2).complete, Revision(99));
+  assert_eq!(targets_named_to(&mut agent, 90).complete, Revision(90));
 }
 
 #[test]
-fn an_agent_that_has_just_started_asks_for_a_packet() {
+fn an_agent_that_has_just_started_is_unsure_until_a_test_has_ended() {
   let mut agent = Stepped::agent(9, "a", false);
   let flow = flow(40_001, 1);
-  let sent = ask(&mut agent, &[flow], 6, "a");
-  assert!(is_told(&sent, &unsure(flow)), "{sent:?}");
-  // While it tries one, it says nothing; then what it has found.
+  let sent = query(&mut agent, &[flow], 6, "a");
+  assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
+  // It answers once the test has ended.
   deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
-  assert_eq!(ask(&mut agent, &[flow], 6, "a"), []);
+  assert_eq!(query(&mut agent, &[flow], 6, "a"), []);
   agent.packet(Packet::data(flow, 5, 6).returned());
-  let sent = ask(&mut agent, &[flow], 6, "a");
-  assert!(is_told(&sent, &absent(flow, NOTHING)), "{sent:?}");
+  let sent = query(&mut agent, &[flow], 6, "a");
+  assert!(is_sent(&sent, &absent(flow, NOTHING)), "{sent:?}");
 }
 
 #[test]
-fn an_agent_of_another_service_has_none_of_its_flows() {
+fn an_agent_of_another_service_reports_absent() {
   let (mut agent, here) = with_flow(true);
-  let sent = ask(&mut agent, &[here], 101, "b");
-  assert!(is_told(&sent, &absent(here, KNOWN)), "{sent:?}");
+  let sent = query(&mut agent, &[here], 101, "b");
+  assert!(is_sent(&sent, &absent(here, KNOWN)), "{sent:?}");
 }
 
 #[test]
-fn a_tested_flow_that_is_not_sent_back_is_here() {
+fn a_flow_whose_test_packet_is_not_bounced_is_found() {
   let mut agent = Stepped::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
   let sent = agent.pass(Duration::from_millis(100));
-  assert!(is_told(&sent, &found(flow)), "{sent:?}");
+  assert!(is_sent(&sent, &found(flow)), "{sent:?}");
 }
 
 #[test]
-fn a_flow_that_the_upstream_forgot_comes_back_with_its_packet() {
+fn a_flow_that_the_upstream_has_lost_is_reported_lost_with_its_packet() {
   let (mut agent, flow) = with_flow(true);
   let packet = Packet::data(flow, 3, 101);
   deliver(&mut agent, Purpose::Deliver, packet);
@@ -307,7 +312,7 @@
 }
 
 #[test]
-fn a_flow_that_the_upstream_did_not_take_is_refused_at_once() {
+fn a_flow_whose_opening_packet_is_bounced_is_refused() {
   let mut agent = Stepped::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
@@ -319,7 +324,7 @@
 }
 
 #[test]
-fn too_much_work_is_refused_before_the_upstream_gets_it() {
+fn flows_beyond_the_objective_are_refused_before_the_upstream_gets_them() {
   let (mut agent, _) = with_flow(true);
   let mut refused = 0;
   for port in 0..40 {
@@ -328,15 +333,15 @@
     let busy = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Refused(_, Refusal::Busy, _), _));
     refused += usize::from(sent.iter().any(busy));
   }
-  // 4 slots, an unmeasured 40 ms and 0.75 of 200 ms leave room for 11 more in the queue.
+  // With 4 slots and an assumed 40 ms each, 0.75 of the objective of 200 ms allows 11 in the queue.
   assert!((25..35).contains(&refused), "refused {refused} of 40");
 }
 
-/// Stops an agent as planned and starts its next run, which hears what the one before had.
-fn restarted(before: &mut Agent) -> Agent {
+/// Stops an agent gracefully and starts its next incarnation, which receives the handover.
+fn restart(before: &mut Agent) -> Agent {
   before.step(Event::Stop);
-  let last_word = before.step(Event::End);
-  let parts = last_word.into_iter().filter_map(|sent| match sent {
+  let final_frames = before.step(Event::End);
+  let parts = final_frames.into_iter().filter_map(|sent| match sent {
     Sent::Frame(_, frame @ Frame::Handover { .. }, _) => Some(frame),
     _ => None,
   });
@@ -350,29 +355,36 @@
 }
 
 #[test]
-fn a_flow_that_opens_after_its_agent_was_told_to_stop_is_handed_over() {
+fn a_flow_that_opens_during_shutdown_is_handed_over() {
   let (mut before, _) = with_flow(true);
   let late = crate::support::flow(40_002, 1);
   deliver(&mut before, Purpose::Open, Packet::open(late, 0));
   before.packet(Packet::answer(late, 300));
   before.step(Event::Stop);
   deliver(&mut before, Purpose::Deliver, Packet::data(late, 2, 301));
-  let mut next = restarted(&mut before);
+  let mut next = restart(&mut before);
   let packet = Packet::data(late, 3, 311);
   let sent = deliver(&mut next, Purpose::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
 #[test]
-fn a_flow_whose_answer_passed_last_is_handed_over_and_opens_at_the_next_run() {
+fn an_answered_flow_is_handed_over_and_opens_at_the_next_incarnation() {
   let (mut before, _) = with_flow(true);
-  let half = crate::support::flow(40_002, 1);
-  deliver(&mut before, Purpose::Open, Packet::open(half, 0));
-  before.packet(Packet::answer(half, 300));
-  let mut next = restarted(&mut before);
-  let elsewhere = deliver(&mut next, Purpose::Deliver, Packet::data(half, 2, 777));
-  assert!(is_told(&elsewhere, &absent(half, NOTHING)), "{elsewhere:?}");
-  let packet = Packet::data(half, 2, 301);
+  let unconfirmed = crate::support::flow(40_002, 1);
+  deliver(&mut before, Purpose::Open, Packet::open(unconfirmed, 0));
+  before.packet(Packet::answer(unconfirmed, 300));
+  let mut next = restart(&mut before);
+  let elsewhere = deliver(
+    &mut next,
+    Purpose::Deliver,
+    Packet::data(unconfirmed, 2, 777),
+  );
+  assert!(
+    is_sent(&elsewhere, &absent(unconfirmed, NOTHING)),
+    "{elsewhere:?}"
+  );
+  let packet = Packet::data(unconfirmed, 2, 301);
   let sent = deliver(&mut next, Purpose::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
@@ -381,10 +393,10 @@
 fn a_late_opening_packet_does_not_hide_a_flow_that_was_handed_over() {
   let (mut before, flow) = with_flow(true);
   before.step(Event::Stop);
-  let last_word = before.step(Event::End);
+  let final_frames = before.step(Event::End);
   let mut next = Stepped::agent(9, "a", false);
   deliver(&mut next, Purpose::Open, Packet::open(flow, 1));
-  for sent in last_word {
+  for sent in final_frames {
     if let Sent::Frame(_, frame @ Frame::Handover { .. }, _) = sent {
       next.frame(BALANCER, &frame, &[]);
     }
@@ -395,30 +407,30 @@
 }
 
 #[test]
-fn an_agent_that_does_not_know_all_flows_hands_over_no_whole_list() {
+fn an_agent_that_does_not_know_all_flows_marks_its_handover_as_partial() {
   let (mut before, flow) = with_flow(false);
-  let mut next = restarted(&mut before);
+  let mut next = restart(&mut before);
   let packet = Packet::data(flow, 3, 111);
   let sent = deliver(&mut next, Purpose::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
   let other = crate::support::flow(40_002, 1);
-  let sent = ask(&mut next, &[other], 6, "a");
-  assert!(is_told(&sent, &unsure(other)), "{sent:?}");
+  let sent = query(&mut next, &[other], 6, "a");
+  assert!(is_sent(&sent, &unsure(other)), "{sent:?}");
 }
 
 #[test]
-fn a_late_copy_of_an_opening_packet_leaves_its_flow_open() {
+fn a_late_opening_retransmission_leaves_its_flow_open() {
   let (mut agent, flow) = with_flow(true);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 2));
   agent.packet(Packet::answer(flow, 100));
-  // Its caller has had an answer since, and acknowledges more.
+  // The caller acknowledges a later answer.
   let packet = Packet::data(flow, 3, 111);
   let sent = deliver(&mut agent, Purpose::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
 #[test]
-fn a_late_copy_that_the_upstream_does_not_take_leaves_its_flow_open() {
+fn a_bounced_opening_retransmission_leaves_its_flow_open() {
   let (mut agent, flow) = with_flow(true);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 2));
   let sent = agent.packet(Packet::open(flow, 2).returned());
@@ -430,32 +442,32 @@
 }
 
 #[test]
-fn flows_are_handed_over_a_planned_restart() {
+fn flows_are_handed_over_at_a_graceful_restart() {
   let (mut before, flow) = with_flow(true);
-  let mut next = restarted(&mut before);
+  let mut next = restart(&mut before);
   let packet = Packet::data(flow, 3, 101);
   let sent = deliver(&mut next, Purpose::Test, packet);
-  assert!(is_told(&sent, &found(flow)), "{sent:?}");
-  // It knows all: another flow is told absent without a test.
+  assert!(is_sent(&sent, &found(flow)), "{sent:?}");
+  // All flows are known: another flow is reported absent without a test.
   let other = crate::support::flow(40_002, 1);
   let sent = deliver(&mut next, Purpose::Test, Packet::data(other, 5, 6));
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, NOTHING), vec![])]);
 }
 
 #[test]
-fn an_agent_tells_a_balancer_that_it_hears_of_first_that_it_is_there() {
+fn an_agent_sends_its_status_at_the_first_frame_of_a_balancer() {
   let mut agent = Stepped::agent(9, "a", false);
-  let ask = Frame::Ask {
+  let query = Frame::Ask {
     complete: KNOWN,
     flows: vec![],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
-  assert_eq!(agent.statuses(BALANCER, &ask), 1);
-  assert_eq!(agent.statuses(BALANCER, &ask), 0);
+  assert_eq!(agent.statuses(BALANCER, &query), 1);
+  assert_eq!(agent.statuses(BALANCER, &query), 0);
 }
 
 #[test]
-fn an_agent_is_quiet_once_its_upstream_has_answered() {
+fn an_agent_is_idle_once_its_upstream_has_answered() {
   let (mut agent, flow) = with_flow(true);
   agent.step(Event::Stop);
   assert!(!agent.machine.is_quiet());
@@ -475,11 +487,11 @@
 }
 
 #[test]
-fn a_time_that_was_measured_long_ago_is_told_no_more() {
+fn an_old_service_time_is_no_longer_reported() {
   let (mut agent, flow) = with_flow(true);
   agent.now += Duration::from_millis(2);
   agent.packet(Packet::data(flow, 101, 2));
-  let told = |agent: &mut Agent| {
+  let reported_ms = |agent: &mut Agent| {
     let other = crate::support::flow(40_002, 1);
     deliver(agent, Purpose::Open, Packet::open(other, 0));
     let sent = agent.packet(Packet::answer(other, 500));
@@ -488,13 +500,13 @@
     };
     load.service_ms
   };
-  assert_eq!(told(&mut agent), 2);
+  assert_eq!(reported_ms(&mut agent), 2);
   agent.now += Duration::from_secs(4);
-  assert_eq!(told(&mut agent), 0);
+  assert_eq!(reported_ms(&mut agent), 0);
 }
 
 #[test]
-fn the_time_of_an_upload_counts_from_its_last_packet() {
+fn the_service_time_of_an_upload_counts_from_its_last_packet() {
   let (mut agent, flow) = with_flow(true);
   for sequence in 3..50 {
     agent.now += Duration::from_millis(10);
@@ -505,7 +517,7 @@
     );
   }
   agent.now += Duration::from_millis(5);
-  // What is sent again is no news.
+  // A retransmission changes nothing.
   deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 20, 101));
   agent.now += Duration::from_millis(2);
   agent.packet(Packet::data(flow, 101, 50));
@@ -516,7 +528,7 @@
 }
 
 #[test]
-fn data_that_is_sent_again_after_its_answer_is_no_work() {
+fn data_retransmitted_after_its_answer_is_no_request() {
   let (mut agent, flow) = with_flow(true);
   agent.packet(Packet::data(flow, 101, 2));
   for _ in 0..10 {
@@ -525,17 +537,17 @@
   let other = crate::support::flow(40_002, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(other, 0));
   let sent = agent.packet(Packet::answer(other, 500));
-  // The new flow's own request is about to come.
+  // Only the new flow's expected request counts.
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.work == 1);
 }
 
 #[test]
-fn a_flow_opened_without_a_request_counts_as_work_until_its_time_only() {
+fn a_flow_without_a_request_counts_as_work_for_a_limited_time() {
   let mut agent = Stepped::agent(9, "a", true);
   let opened = agent.now;
   deliver(&mut agent, Purpose::Open, Packet::open(flow(40_001, 1), 0));
   agent.packet(Packet::answer(flow(40_001, 1), 100));
-  // Nothing else is due sooner once the load has been told.
+  // Once the load has been reported, nothing else is due sooner.
   agent.pass(Duration::from_millis(120));
   assert!(agent.machine.deadline() <= opened + Duration::from_millis(300));
   agent.pass(Duration::from_millis(180));
@@ -545,8 +557,8 @@
 }
 
 #[test]
-fn a_time_is_not_measured_before_the_slots_are_known() {
-  // It has not heard the list. Three requests pass at once and take 60 ms.
+fn the_service_time_is_not_measured_before_the_slots_are_known() {
+  // Without the target list, three concurrent requests take 60 ms.
   let mut agent = Stepped::agent(9, "a", false);
   let flows = [1, 2, 3].map(|port| flow(port, 1));
   for flow in flows {
@@ -560,12 +572,12 @@
   }
   deliver(&mut agent, Purpose::Open, Packet::open(flow(4, 1), 0));
   let sent = agent.packet(Packet::answer(flow(4, 1), 100));
-  // Not 20 ms, as if the third had waited behind the others.
+  // Counting the third as queued behind the others would give 20 ms.
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.service_ms == 0);
 }
 
 #[test]
-fn a_flow_without_a_request_counts_as_work_a_few_times_as_long_as_callers_take() {
+fn the_time_of_a_flow_without_a_request_adapts_to_callers() {
   let (mut agent, _) = with_flow(true);
   for port in 1..=40 {
     deliver(&mut agent, Purpose::Open, Packet::open(flow(port, 1), 0));
@@ -586,33 +598,34 @@
     };
     load.work
   };
-  // The flow of `with_flow` waits for its answer.
+  // The request of `with_flow` is in flight too.
   assert_eq!(work(&mut agent, 41), 2);
   agent.pass(Duration::from_millis(25));
   assert_eq!(work(&mut agent, 42), 3);
-  // Callers take 10 ms: after 35 ms that of the first has gone.
+  // Callers take 10 ms, so the first flow no longer counts after 35 ms.
   agent.pass(Duration::from_millis(10));
   assert_eq!(work(&mut agent, 43), 3);
 }
 
 #[test]
-fn an_opening_packet_that_is_late_does_not_hide_a_flow_of_the_run_before() {
+fn a_late_opening_packet_does_not_hide_a_flow_of_the_previous_incarnation() {
   let mut agent = agent_of(false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
-  // Its caller has acknowledged another answer, of this upstream or of another one.
-  let sent = ask(&mut agent, &[flow], 501, "a");
-  assert!(is_told(&sent, &unsure(flow)), "{sent:?}");
+  // The caller has acknowledged another answer, of this upstream's previous incarnation or
+  // elsewhere.
+  let sent = query(&mut agent, &[flow], 501, "a");
+  assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
   let packet = Packet::data(flow, 2, 501);
   let sent = deliver(&mut agent, Purpose::Test, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
   let sent = agent.pass(Duration::from_millis(31));
-  assert!(is_told(&sent, &found(flow)), "{sent:?}");
+  assert!(is_sent(&sent, &found(flow)), "{sent:?}");
 }
 
 #[test]
-fn a_flow_that_is_tried_while_it_is_opened_is_no_work_once_it_came_back() {
+fn a_flow_that_fails_a_test_while_it_opens_no_longer_counts_as_work() {
   let mut agent = Stepped::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
@@ -626,8 +639,8 @@
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.work == 1);
 }
 
-/// The upstream breaks a flow off.
-fn broken(flow: Flow) -> Packet {
+/// An upstream's reset of a flow.
+fn reset(flow: Flow) -> Packet {
   Packet {
     data: 0,
     kind: Kind::Reset,
@@ -635,12 +648,12 @@
   }
 }
 
-/// A flow comes, and if the upstream gets it, a request in it; whether it did.
-fn ask_in(agent: &mut Agent, flow: Flow) -> bool {
+/// Opens a flow and sends a request in it; false where the agent refuses the flow.
+fn request_in_new_flow(agent: &mut Agent, flow: Flow) -> bool {
   let sent = deliver(agent, Purpose::Open, Packet::open(flow, 0));
-  if is_told(
+  if is_sent(
     &sent,
-    &Frame::Refused(flow, Refusal::Down, agent_load(&sent)),
+    &Frame::Refused(flow, Refusal::Down, refused_load(&sent)),
   ) {
     return false;
   }
@@ -649,7 +662,7 @@
   true
 }
 
-fn agent_load(sent: &[Sent]) -> Load {
+fn refused_load(sent: &[Sent]) -> Load {
   match sent.first() {
     Some(Sent::Frame(_, Frame::Refused(_, _, load), _)) => *load,
     _ => Load::default(),
@@ -657,51 +670,51 @@
 }
 
 #[test]
-fn an_upstream_that_breaks_all_off_is_tried_with_one_flow_at_a_time() {
+fn an_upstream_that_resets_all_requests_is_tried_with_one_flow_at_a_time() {
   let mut agent = Stepped::agent(9, "a", true);
   for port in 1..=3 {
-    assert!(ask_in(&mut agent, flow(port, 1)));
-    agent.packet(broken(flow(port, 1)));
+    assert!(request_in_new_flow(&mut agent, flow(port, 1)));
+    agent.packet(reset(flow(port, 1)));
   }
-  assert!(!ask_in(&mut agent, flow(4, 1)));
+  assert!(!request_in_new_flow(&mut agent, flow(4, 1)));
   agent.pass(Duration::from_millis(510));
-  assert!(ask_in(&mut agent, flow(5, 1)));
-  assert!(!ask_in(&mut agent, flow(6, 1)));
-  agent.packet(broken(flow(5, 1)));
-  // It rests for twice as long.
+  assert!(request_in_new_flow(&mut agent, flow(5, 1)));
+  assert!(!request_in_new_flow(&mut agent, flow(6, 1)));
+  agent.packet(reset(flow(5, 1)));
+  // The circuit is open for twice as long.
   agent.pass(Duration::from_millis(900));
-  assert!(!ask_in(&mut agent, flow(7, 1)));
+  assert!(!request_in_new_flow(&mut agent, flow(7, 1)));
   agent.pass(Duration::from_millis(110));
-  assert!(ask_in(&mut agent, flow(8, 1)));
+  assert!(request_in_new_flow(&mut agent, flow(8, 1)));
   agent.packet(Packet::data(flow(8, 1), 101, 3));
   for port in 9..=12 {
-    assert!(ask_in(&mut agent, flow(port, 1)));
+    assert!(request_in_new_flow(&mut agent, flow(port, 1)));
   }
 }
 
 #[test]
-fn an_upstream_that_answers_between_is_well() {
+fn an_upstream_that_answers_between_resets_stays_in_use() {
   let mut agent = Stepped::agent(9, "a", true);
   for port in 1..=20 {
-    assert!(ask_in(&mut agent, flow(port, 1)));
+    assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     let last = if port % 3 == 0 {
       Packet::data(flow(port, 1), 101, 3)
     } else {
-      broken(flow(port, 1))
+      reset(flow(port, 1))
     };
     agent.packet(last);
   }
 }
 
 #[test]
-fn an_upstream_that_answers_nothing_is_tried_again_nevertheless() {
+fn an_upstream_that_never_answers_its_trial_is_tried_again() {
   let mut agent = Stepped::agent(9, "a", true);
   for port in 1..=3 {
-    assert!(ask_in(&mut agent, flow(port, 1)));
-    agent.packet(broken(flow(port, 1)));
+    assert!(request_in_new_flow(&mut agent, flow(port, 1)));
+    agent.packet(reset(flow(port, 1)));
   }
   for port in 4..=6 {
     agent.pass(Duration::from_millis(510));
-    assert!(ask_in(&mut agent, flow(port, 1)));
+    assert!(request_in_new_flow(&mut agent, flow(port, 1)));
   }
 }
