--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -1,4 +1,4 @@
-//! A cold upstream gets no more new flows in any second than the operator states.
+//! An upstream that warms up gets no more new flows in any second than the operator allows.
 
 use {
   crate::{
@@ -16,18 +16,20 @@
   std::time::Duration,
 };
 
-/// What the operator states: 12 new flows a second, for 4 s.
+/// New flows per second that the operator allows during a warm-up.
 const PER_SECOND: usize = 12;
+
+/// How long a warm-up lasts.
 const LASTS: Duration = Duration::from_secs(4);
 
-/// The time in which so many are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// The window in which the limit applies.
+const WINDOW: Duration = Duration::from_secs(1);
 
 fn configured() -> Record {
   configured_cold(1, 1, &[(1, "a")], LASTS, PER_SECOND as u16)
 }
 
-/// An agent whose upstream is cold for so much longer.
+/// An agent whose upstream warms up for `left` more.
 fn agent(first_start: bool, left: Duration) -> Agent {
   let mut agent = Stepped::agent(9, "a", first_start);
   let records = [configured(), warming(2, "up", 9, "a", left)];
@@ -35,8 +37,8 @@
   agent
 }
 
-/// Whether the upstream is given a new flow of a balancer.
-fn opens(agent: &mut Agent, from: u8, port: u16) -> bool {
+/// Sends an opening packet of the balancer on host `from`; false where the agent refuses the flow.
+fn try_open(agent: &mut Agent, from: u8, port: u16) -> bool {
   let packet = Packet::open(flow(port, 1), 0);
   let sent = agent.frame(from, &carry(Purpose::Open), &packet.write());
   match &sent[..] {
@@ -49,14 +51,14 @@
   }
 }
 
-/// How many flows the upstream is given when one comes each 10 ms for a time, and the most in any
-/// second. They end before the next comes, so that nothing waits.
-fn given(agent: &mut Agent, time: Duration) -> (usize, usize) {
-  let mut taken = Vec::new();
+/// Opens a flow every 10 ms; each is bounced before the next one, so that none is in flight.
+/// Returns how many the upstream is given in all, and the most in any second.
+fn open_flows(agent: &mut Agent, time: Duration) -> (usize, usize) {
+  let mut opened = Vec::new();
   for number in 0..time.as_millis() as u16 / 10 {
     agent.pass(Duration::from_millis(10));
-    if opens(agent, 1, 1000 + number) {
-      taken.push(agent.now);
+    if try_open(agent, 1, 1000 + number) {
+      opened.push(agent.now);
       let back = Packet {
         returned: true,
         ..Packet::open(flow(1000 + number, 1), 0)
@@ -64,116 +66,116 @@
       agent.packet(back);
     }
   }
-  let in_second = |at| {
-    let span = taken.iter().filter(|other| **other >= at);
-    let span = span.filter(|other| **other < at + Duration::from_secs(1));
-    span.count()
+  let in_window = |at| {
+    let window = opened.iter().filter(|other| **other >= at);
+    let window = window.filter(|other| **other < at + Duration::from_secs(1));
+    window.count()
   };
-  let most = taken.iter().map(|at| in_second(*at)).max();
-  (taken.len(), most.unwrap_or(0))
+  let most = opened.iter().map(|at| in_window(*at)).max();
+  (opened.len(), most.unwrap_or(0))
 }
 
 #[test]
-fn a_cold_upstream_gets_what_is_stated_in_any_second_and_all_of_it() {
+fn a_cold_upstream_gets_the_whole_limit_in_each_second() {
   let mut agent = agent(true, LASTS);
-  let (taken, most) = given(&mut agent, Duration::from_millis(3500));
+  let (opened, most) = open_flows(&mut agent, Duration::from_millis(3500));
   assert_eq!(most, PER_SECOND);
-  assert_eq!(taken, 4 * PER_SECOND);
+  assert_eq!(opened, 4 * PER_SECOND);
 }
 
 #[test]
-fn a_warm_upstream_gets_all() {
+fn a_warm_upstream_has_no_limit() {
   let mut agent = agent(true, Duration::ZERO);
-  let (taken, _) = given(&mut agent, Duration::from_secs(2));
-  assert_eq!(taken, 200);
+  let (opened, _) = open_flows(&mut agent, Duration::from_secs(2));
+  assert_eq!(opened, 200);
 }
 
 #[test]
-fn two_runs_of_an_agent_give_half_as_many_more_than_stated_in_a_second_at_most() {
+fn a_new_incarnation_of_an_agent_opens_half_the_limit_in_its_first_second() {
   let mut before = agent(true, LASTS);
-  let (taken, _) = given(&mut before, Duration::from_millis(300));
-  assert_eq!(taken, PER_SECOND);
+  let (opened, _) = open_flows(&mut before, Duration::from_millis(300));
+  assert_eq!(opened, PER_SECOND);
   let mut next = agent(false, LASTS);
-  let (taken, _) = given(&mut next, Duration::from_millis(900));
-  assert_eq!(taken, PER_SECOND / 2);
-  // Then it gives all again.
+  let (opened, _) = open_flows(&mut next, Duration::from_millis(900));
+  assert_eq!(opened, PER_SECOND / 2);
+  // Later the whole limit applies.
   next.pass(Duration::from_secs(1));
-  let (taken, _) = given(&mut next, Duration::from_millis(500));
-  assert_eq!(taken, PER_SECOND);
+  let (opened, _) = open_flows(&mut next, Duration::from_millis(500));
+  assert_eq!(opened, PER_SECOND);
 }
 
 #[test]
-fn an_agent_that_has_just_started_is_careful_until_a_newer_word_comes() {
+fn an_agent_that_has_just_started_limits_flows_until_a_newer_record_comes() {
   let mut agent = agent(false, Duration::ZERO);
-  let (_, most) = given(&mut agent, Duration::from_millis(1800));
+  let (_, most) = open_flows(&mut agent, Duration::from_millis(1800));
   assert_matches!(most, 1..=PER_SECOND);
-  let word = warming(3, "up", 9, "a", Duration::ZERO);
-  agent.platform(news(Some(2), 3, &[word]));
-  agent.pass(SPAN);
-  let (taken, _) = given(&mut agent, Duration::from_millis(500));
-  assert_eq!(taken, 50);
+  let record = warming(3, "up", 9, "a", Duration::ZERO);
+  agent.platform(news(Some(2), 3, &[record]));
+  agent.pass(WINDOW);
+  let (opened, _) = open_flows(&mut agent, Duration::from_millis(500));
+  assert_eq!(opened, 50);
 }
 
 #[test]
-fn a_second_that_begins_while_an_upstream_is_cold_counts_to_its_end() {
+fn a_second_that_begins_during_the_warm_up_is_limited_to_its_end() {
   let mut agent = agent(true, Duration::from_millis(1500));
-  let (taken, most) = given(&mut agent, Duration::from_millis(2490));
+  let (opened, most) = open_flows(&mut agent, Duration::from_millis(2490));
   assert_eq!(most, PER_SECOND);
-  assert_eq!(taken, 3 * PER_SECOND);
-  // The same where the platform says in time that it is warm.
+  assert_eq!(opened, 3 * PER_SECOND);
+  // The same where the platform reports the end of the warm-up.
   let mut agent = self::agent(true, LASTS);
-  given(&mut agent, Duration::from_millis(500));
-  let word = warming(3, "up", 9, "a", Duration::ZERO);
-  agent.platform(news(Some(2), 3, &[word]));
-  let (_, most) = given(&mut agent, Duration::from_millis(900));
+  open_flows(&mut agent, Duration::from_millis(500));
+  let record = warming(3, "up", 9, "a", Duration::ZERO);
+  agent.platform(news(Some(2), 3, &[record]));
+  let (_, most) = open_flows(&mut agent, Duration::from_millis(900));
   assert_eq!(most, PER_SECOND);
 }
 
 #[test]
-fn an_agent_that_has_just_started_is_careful_no_longer_than_a_target_is_cold() {
+fn an_agent_that_has_just_started_limits_flows_no_longer_than_a_warm_up() {
   let mut agent = agent(false, Duration::ZERO);
-  agent.pass(LASTS + SPAN);
-  let (taken, _) = given(&mut agent, Duration::from_millis(500));
-  assert_eq!(taken, 50);
+  agent.pass(LASTS + WINDOW);
+  let (opened, _) = open_flows(&mut agent, Duration::from_millis(500));
+  assert_eq!(opened, 50);
 }
 
 #[test]
-fn an_agent_that_knows_no_configuration_is_careful() {
+fn an_agent_without_a_configuration_limits_flows() {
   let mut agent = Stepped::agent(9, "a", false);
-  let (_, most) = given(&mut agent, Duration::from_secs(1));
+  let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_matches!(most, 1..PER_SECOND);
 }
 
 #[test]
-fn an_upstream_may_have_turned_cold_when_its_data_centre_is_opened_again() {
+fn flows_are_limited_after_the_data_centre_is_opened_again() {
   let mut agent = agent(true, Duration::ZERO);
-  let word = warming(4, "up", 9, "a", Duration::ZERO);
-  let records = [closure(3, "default", true), word];
+  let record = warming(4, "up", 9, "a", Duration::ZERO);
+  let records = [closure(3, "default", true), record];
   agent.platform(news(Some(2), 4, &records));
   agent.platform(news(Some(4), 5, &[closure(5, "default", false)]));
-  let (_, most) = given(&mut agent, Duration::from_secs(1));
+  let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_eq!(most, PER_SECOND);
 }
 
 #[test]
-fn an_upstream_that_was_silent_may_have_been_started_again() {
+fn flows_are_limited_after_the_upstream_was_unresponsive() {
   let mut agent = agent(true, Duration::ZERO);
-  assert!(opens(&mut agent, 1, 1));
+  assert!(try_open(&mut agent, 1, 1));
   agent.pass(Duration::from_millis(100));
   let answer = Packet {
     sequence: 100,
     ..Packet::open(flow(1, 1), 1)
   };
   agent.packet(answer);
-  let (_, most) = given(&mut agent, Duration::from_secs(1));
+  let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_eq!(most, PER_SECOND);
 }
 
 #[test]
-fn places_are_granted_as_far_as_a_cold_upstream_has_room() {
+fn no_more_slots_are_granted_than_a_cold_upstream_has_room_for() {
   let mut agent = agent(true, LASTS);
   for port in 0..PER_SECOND as u16 - 1 {
-    assert!(opens(&mut agent, 1, port));
+    assert!(try_open(&mut agent, 1, port));
     let back = Packet {
       returned: true,
       ..Packet::open(flow(port, 1), 0)
@@ -186,9 +188,9 @@
   };
   let sent = agent.frame(2, &backlog, &[]);
   assert_matches!(&sent[..], [Sent::Frame(to, Frame::Grant(_), _)] if *to == peer(2));
-  // The place is kept for who was granted it.
-  assert!(!opens(&mut agent, 1, 90));
-  assert!(opens(&mut agent, 2, 91));
+  // The slot is reserved for the balancer that it was granted to.
+  assert!(!try_open(&mut agent, 1, 90));
+  assert!(try_open(&mut agent, 2, 91));
 }
 
 fn room(room: u16) -> Load {
@@ -198,7 +200,7 @@
   }
 }
 
-fn with_rate() -> Balancer {
+fn balancer_with_limit() -> Balancer {
   let mut balancer = balancer();
   let record = configured_cold(5, 2, &[(1, "a"), (2, "b")], LASTS, PER_SECOND as u16);
   balancer.platform(news(Some(4), 5, &[record]));
@@ -206,32 +208,32 @@
 }
 
 #[test]
-fn a_balancer_gives_a_cold_target_no_more_than_it_has_room_for() {
-  let mut balancer = with_rate();
+fn a_balancer_sends_a_cold_target_no_more_flows_than_it_has_room_for() {
+  let mut balancer = balancer_with_limit();
   tell(&mut balancer, 11, 1, room(1));
   tell(&mut balancer, 12, 1, room(1));
-  let mut places = (1..=3)
+  let mut opened = (1..=3)
     .flat_map(|port| carried(&balancer.packet(Packet::open(flow(port, 1), 0))))
     .collect::<Vec<_>>();
-  places.sort_by_key(|(host, _)| *host);
-  assert_eq!(places, [(11, Purpose::Open), (12, Purpose::Open)]);
-  // The third waits until there is room.
+  opened.sort_by_key(|(host, _)| *host);
+  assert_eq!(opened, [(11, Purpose::Open), (12, Purpose::Open)]);
+  // The third is queued until there is room.
   tell(&mut balancer, 12, 1, room(1));
   let sent = balancer.pass(Duration::from_millis(6));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
 }
 
 #[test]
-fn more_than_cold_targets_take_in_time_is_told_at_once() {
-  let mut balancer = with_rate();
+fn flows_that_cold_targets_cannot_take_in_time_are_reset_at_once() {
+  let mut balancer = balancer_with_limit();
   tell(&mut balancer, 11, 1, room(0));
   tell(&mut balancer, 12, 1, room(0));
-  // Two targets take 24 a second, and callers wait for little more than one.
-  let told = (1..=60)
+  // Two targets take 24 flows a second, and callers wait for little more than one second.
+  let reset = (1..=60)
     .filter(|port| {
       let sent = balancer.packet(Packet::open(flow(*port, 1), 0));
       is_reset(&sent, flow(*port, 1), 0)
     })
     .count();
-  assert_matches!(told, 20..45);
+  assert_matches!(reset, 20..45);
 }
