--- a/tests/datagram/failing.rs
+++ b/tests/datagram/failing.rs
@@ -1,4 +1,5 @@
-//! A target that fails part of its requests answers those far sooner than the others, and looks idle.
+//! A target that fails some requests answers these quickly and looks idle. It must not attract more
+//! flows for that.
 
 use {
   crate::{
@@ -14,13 +15,13 @@
   std::time::Duration,
 };
 
-/// An error takes so long.
-const ERROR: Duration = Duration::from_millis(1);
+/// How long a failed request takes.
+const ERROR_TIME: Duration = Duration::from_millis(1);
 
-/// How many requests a target is given.
+/// How many requests the upstream is given.
 const REQUESTS: u16 = 200;
 
-/// One request of a flow of its own that the upstream answers after `time`.
+/// Sends a request in a new flow, which the upstream answers after `time`.
 fn request(agent: &mut Agent, port: u16, time: Duration) {
   let open = Packet::open(flow(port, 1), 0);
   agent.frame(1, &carry(Purpose::Open), &open.write());
@@ -34,16 +35,16 @@
   agent.packet(Packet::data(flow(port, 1), 101, 12));
 }
 
-/// What an agent says after requests, each of which fails with such a chance.
-fn told(failing: f64) -> Load {
+/// The load that an agent reports after requests that fail with the given probability.
+fn load_after_failures(failing: f64) -> Load {
   let mut agent = agent();
   let mut rng = SmallRng::seed_from_u64(7);
   for port in 1..=REQUESTS {
-    // From 20 to 140 ms, most of them short.
+    // From 20 to 140 ms, mostly short.
     let work = 20.0 + 120.0 * rng.random::<f64>().powi(3);
     let fails = rng.random_bool(failing);
     let time = if fails {
-      ERROR
+      ERROR_TIME
     } else {
       Duration::from_secs_f64(work / 1000.0)
     };
@@ -52,33 +53,41 @@
   load(&agent)
 }
 
-/// What an agent says of its upstream.
+/// The load that an agent reports.
 fn load(agent: &Agent) -> Load {
   let dump = agent.machine.dump(agent.now);
   serde_json::from_value(dump["load"].clone()).expect("load")
 }
 
 #[test]
-fn an_agent_tells_how_many_requests_its_upstream_fails() {
-  assert!(told(0.45).failed >= 25, "{:?}", told(0.45));
-  assert!(told(0.0).failed < 5, "{:?}", told(0.0));
+fn an_agent_reports_the_share_of_failed_requests() {
+  assert!(
+    load_after_failures(0.45).failed >= 25,
+    "{:?}",
+    load_after_failures(0.45)
+  );
+  assert!(
+    load_after_failures(0.0).failed < 5,
+    "{:?}",
+    load_after_failures(0.0)
+  );
 }
 
 #[test]
-fn an_upstream_that_is_given_nothing_gets_another_chance() {
+fn failures_of_an_upstream_without_requests_expire() {
   let mut agent = agent();
   for port in 1..=20 {
     request(&mut agent, port, Duration::from_millis(50));
   }
   for port in 21..=40 {
-    request(&mut agent, port, ERROR);
+    request(&mut agent, port, ERROR_TIME);
   }
   assert!(load(&agent).failed > 80, "{:?}", load(&agent));
   agent.pass(Duration::from_secs(4));
   assert_eq!(load(&agent).failed, 0);
 }
 
-fn failing(failed: u8, work: u16) -> Load {
+fn load_of(failed: u8, work: u16) -> Load {
   Load {
     failed,
     service_ms: 50,
@@ -87,36 +96,37 @@
   }
 }
 
-/// A balancer before three targets of service `a`; the first fails part of its requests.
-fn before(failed: [u8; 3], work: [u16; 3]) -> Balancer {
+/// A balancer with three targets of service `a` that report these percentages of failed requests
+/// and requests in flight.
+fn balancer_with_targets(failed: [u8; 3], work: [u16; 3]) -> Balancer {
   let mut balancer = balancer();
   let record = listed(5, "up-13", 13, "a", Presence::Live);
   balancer.platform(news(Some(4), 5, &[record]));
   for (host, (failed, work)) in (11..).zip(failed.into_iter().zip(work)) {
-    tell(&mut balancer, host, 1, failing(failed, work));
+    tell(&mut balancer, host, 1, load_of(failed, work));
   }
   balancer
 }
 
-fn placed(balancer: &mut Balancer) -> u8 {
+fn chosen_target(balancer: &mut Balancer) -> u8 {
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   carried(&sent)[0].0
 }
 
 #[test]
-fn an_idle_target_that_fails_more_than_the_others_is_passed_over() {
-  let mut balancer = before([40, 2, 3], [0, 3, 4]);
-  assert_eq!(placed(&mut balancer), 12);
+fn a_target_that_fails_more_requests_than_the_others_is_avoided() {
+  let mut balancer = balancer_with_targets([40, 2, 3], [0, 3, 4]);
+  assert_eq!(chosen_target(&mut balancer), 12);
 }
 
 #[test]
-fn where_others_are_too_busy_a_target_that_fails_some_is_better() {
-  let mut balancer = before([40, 2, 3], [0, 40, 40]);
-  assert_eq!(placed(&mut balancer), 11);
+fn a_failing_target_is_chosen_where_the_others_are_too_busy() {
+  let mut balancer = balancer_with_targets([40, 2, 3], [0, 40, 40]);
+  assert_eq!(chosen_target(&mut balancer), 11);
 }
 
 #[test]
-fn where_all_fail_as_many_none_is_passed_over() {
-  let mut balancer = before([40, 41, 39], [0, 3, 4]);
-  assert_eq!(placed(&mut balancer), 11);
+fn no_target_is_avoided_where_all_fail_as_many_requests() {
+  let mut balancer = balancer_with_targets([40, 41, 39], [0, 3, 4]);
+  assert_eq!(chosen_target(&mut balancer), 11);
 }
