--- a/tests/datagram/grants.rs
+++ b/tests/datagram/grants.rs
@@ -1,5 +1,5 @@
-//! An agent keeps places at its upstream for flows that wait in balancers, and no more than there
-//! are.
+//! An agent reserves slots of its upstream for flows that are queued in balancers, and no more than
+//! are free.
 
 use {
   crate::{
@@ -18,15 +18,15 @@
   std::{net::SocketAddrV4, time::Duration},
 };
 
-/// Places of an upstream with 4 slots: one more for two slots.
-const PLACES: usize = 6;
+/// How many requests are granted at an upstream with 4 slots: one more for every two slots.
+const GRANTS_MAX: usize = 6;
 
 fn backlog(flows: u16) -> Frame {
   let service = digest("a");
   Frame::Backlog { flows, service }
 }
 
-/// Who was granted a place, in order.
+/// The balancers that were granted a slot, in order.
 fn granted(sent: &[Sent]) -> Vec<SocketAddrV4> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(to, Frame::Grant(_), _) => Some(*to),
@@ -35,32 +35,32 @@
   frames.collect()
 }
 
-/// A flow comes to the agent.
+/// Sends the agent an opening packet of the balancer on host `from`.
 fn open(agent: &mut Agent, from: u8, port: u16) -> Vec<Sent> {
   let packet = Packet::open(flow(port, 1), 0);
   agent.frame(from, &carry(Purpose::Open), &packet.write())
 }
 
 #[test]
-fn free_places_are_granted_at_once_and_no_more_than_there_are() {
+fn free_slots_are_granted_at_once_and_no_more_than_there_are() {
   let mut agent = agent();
   let sent = agent.frame(1, &backlog(40), &[]);
-  assert_eq!(granted(&sent), [peer(1); PLACES]);
+  assert_eq!(granted(&sent), [peer(1); GRANTS_MAX]);
   assert_eq!(granted(&agent.frame(1, &backlog(40), &[])), []);
-  // What is taken is work now, and still takes its place.
+  // An opened flow keeps its slot in use.
   for port in 1..=6 {
     assert_eq!(granted(&open(&mut agent, 1, port)), []);
   }
 }
 
 #[test]
-fn nobody_is_granted_more_than_waits_there() {
+fn a_balancer_is_granted_no_more_than_its_backlog() {
   let mut agent = agent();
   assert_eq!(granted(&agent.frame(1, &backlog(2), &[])), [peer(1); 2]);
 }
 
 #[test]
-fn a_place_that_becomes_free_is_granted_at_once() {
+fn a_slot_that_becomes_free_is_granted_at_once() {
   let mut agent = agent();
   agent.frame(1, &backlog(40), &[]);
   for port in 1..=6 {
@@ -77,12 +77,12 @@
 fn callers_have_the_same_chance_at_all_balancers() {
   let mut agent = agent();
   let sent = agent.frame(1, &backlog(40), &[]);
-  assert_eq!(granted(&sent), [peer(1); PLACES]);
+  assert_eq!(granted(&sent), [peer(1); GRANTS_MAX]);
   agent.frame(2, &backlog(36), &[]);
   for port in 1..=6 {
     open(&mut agent, 1, port);
   }
-  // 34 wait at the first and 36 at the second.
+  // Now 34 are queued at the first and 36 at the second.
   let mut to = Vec::new();
   for port in 1..=6 {
     let returned = Packet {
@@ -96,32 +96,32 @@
 }
 
 #[test]
-fn a_place_that_is_not_taken_is_granted_again() {
+fn a_slot_that_is_not_used_is_granted_again() {
   let mut agent = agent();
   agent.frame(1, &backlog(40), &[]);
   assert_eq!(granted(&agent.pass(Duration::from_millis(20))), []);
   let sent = agent.pass(Duration::from_millis(10));
-  assert_eq!(granted(&sent), [peer(1); PLACES]);
+  assert_eq!(granted(&sent), [peer(1); GRANTS_MAX]);
 }
 
 #[test]
-fn a_balancer_where_nothing_waits_gives_its_places_back() {
+fn an_empty_backlog_releases_the_balancers_slots() {
   let mut agent = agent();
   agent.frame(1, &backlog(40), &[]);
   agent.frame(2, &backlog(40), &[]);
   let sent = agent.frame(1, &backlog(0), &[]);
-  assert_eq!(granted(&sent), [peer(2); PLACES]);
+  assert_eq!(granted(&sent), [peer(2); GRANTS_MAX]);
 }
 
 #[test]
-fn a_silent_balancer_is_granted_nothing() {
+fn an_expired_backlog_is_granted_nothing() {
   let mut agent = agent();
   agent.frame(1, &backlog(40), &[]);
   assert_eq!(granted(&agent.pass(Duration::from_millis(400))), []);
 }
 
 #[test]
-fn a_leaving_upstream_grants_nothing() {
+fn a_draining_upstream_grants_nothing() {
   let mut agent = agent();
   let leaving = listed(3, "up", 9, "a", Presence::Leaving);
   agent.platform(news(Some(2), 3, &[leaving]));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_granted_flow_is_not_turned_away() {
+fn a_granted_flow_is_not_refused() {
   let mut agent = agent();
   let mut port = 0;
   let busy = loop {
@@ -150,7 +150,7 @@
     }
   };
   assert_eq!(busy.len(), 1);
-  // Its places came free before the others were placed.
+  // The slot is granted before the others are opened.
   let mut agent = self::agent();
   agent.frame(1, &backlog(1), &[]);
   for other in 1..port {
@@ -159,8 +159,8 @@
   assert_matches!(open(&mut agent, 1, 1000)[..], [Sent::Upstream(_)]);
 }
 
-/// A balancer both of whose targets of service `a` are full, and with a flow that waits.
-fn waiting() -> Balancer {
+/// A balancer with a queued flow, since both targets of service `a` are busy.
+fn balancer_with_queued_flow() -> Balancer {
   let mut balancer = balancer();
   for host in [11, 12] {
     tell(&mut balancer, host, 1, busy(24));
@@ -169,8 +169,8 @@
   balancer
 }
 
-/// Who was told how many flows wait.
-fn told(sent: &[Sent]) -> Vec<(SocketAddrV4, u16)> {
+/// The backlogs that were sent, by receiver.
+fn backlogs(sent: &[Sent]) -> Vec<(SocketAddrV4, u16)> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(to, Frame::Backlog { flows, .. }, _) => Some((*to, *flows)),
     _ => None,
@@ -179,38 +179,38 @@
 }
 
 #[test]
-fn agents_of_the_service_are_told_that_flows_wait() {
-  let mut balancer = waiting();
+fn agents_of_the_service_are_sent_the_backlog() {
+  let mut balancer = balancer_with_queued_flow();
   let sent = balancer.pass(Duration::ZERO);
-  assert_eq!(told(&sent), [(peer(11), 1), (peer(12), 1)]);
-  // And again before they forget it.
-  assert_eq!(told(&balancer.pass(Duration::from_millis(50))), []);
+  assert_eq!(backlogs(&sent), [(peer(11), 1), (peer(12), 1)]);
+  // The backlog is renewed before it expires at the agents.
+  assert_eq!(backlogs(&balancer.pass(Duration::from_millis(50))), []);
   let sent = balancer.pass(Duration::from_millis(60));
-  assert_eq!(told(&sent), [(peer(11), 1), (peer(12), 1)]);
+  assert_eq!(backlogs(&sent), [(peer(11), 1), (peer(12), 1)]);
 }
 
 #[test]
-fn a_granted_place_is_taken_by_a_flow_that_waits() {
-  let mut balancer = waiting();
+fn a_grant_opens_a_queued_flow() {
+  let mut balancer = balancer_with_queued_flow();
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
-  // Nothing waits any more: the next place is given back.
+  // Nothing is queued any more: the next grant is released.
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
   assert_eq!(sent, [Sent::Frame(peer(12), backlog(0), vec![])]);
 }
 
 #[test]
-fn a_granted_place_on_a_route_dropped_meanwhile_is_given_back() {
-  let mut balancer = waiting();
+fn a_grant_for_a_route_without_the_service_is_released() {
+  let mut balancer = balancer_with_queued_flow();
   balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
   assert_eq!(carried(&sent), []);
-  assert_eq!(told(&sent), [(peer(12), 0)]);
+  assert_eq!(backlogs(&sent), [(peer(12), 0)]);
 }
 
 #[test]
-fn a_place_at_a_leaving_target_is_not_taken() {
-  let mut balancer = waiting();
+fn a_grant_of_a_draining_target_is_not_used() {
+  let mut balancer = balancer_with_queued_flow();
   let leaving = listed(5, "up-12", 12, "a", Presence::Leaving);
   balancer.platform(news(Some(4), 5, &[leaving]));
   let sent = balancer.frame(12, &Frame::Grant(Load::default()), &[]);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_place_at_a_target_that_answers_far_too_soon_is_not_taken() {
+fn a_grant_of_a_fast_failing_target_is_not_used() {
   let mut balancer = balancer();
   let records = [listed(5, "up-13", 13, "a", Presence::Live)];
   balancer.platform(news(Some(4), 5, &records));
@@ -231,7 +231,7 @@
   tell(&mut balancer, 12, 1, load(40, 24));
   tell(&mut balancer, 13, 1, load(1, 600));
   assert_eq!(balancer.packet(Packet::open(flow(1, 1), 0)), []);
-  // It fails at once what it is given, so that it always has free places.
+  // It fails each request at once, so that it always has free slots.
   let sent = balancer.frame(13, &Frame::Grant(load(1, 0)), &[]);
   assert_eq!(carried(&sent), []);
 }
