--- a/tests/datagram/reborn.rs
+++ b/tests/datagram/reborn.rs
@@ -1,5 +1,5 @@
-//! An upstream that starts again under its name holds nothing from before, and a flow that it has
-//! forgotten is over at once.
+//! An upstream that restarts under the same name has lost its flows and requests, and the callers
+//! of lost flows are told at once.
 
 use {
   crate::{
@@ -19,8 +19,8 @@
   std::time::{Duration, Instant},
 };
 
-/// The record of a run of an upstream.
-fn run(revision: u64, id: &str, host: u8, born: u64) -> Record {
+/// The record of an upstream's incarnation.
+fn incarnation(revision: u64, id: &str, host: u8, born: u64) -> Record {
   let mut record = listed(revision, id, host, "a", Presence::Live);
   if let Record::Target {
     target: Some(target),
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn a_late_word_of_a_run_before_changes_nothing() {
+fn a_late_record_of_a_previous_incarnation_changes_nothing() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, news(None, 2, &[run(2, "up", 9, 200)]));
-  let mut late = run(3, "up", 9, 100);
+  catalog.offer(now, news(None, 2, &[incarnation(2, "up", 9, 200)]));
+  let mut late = incarnation(3, "up", 9, 100);
   if let Record::Target {
     target: Some(target),
     ..
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn a_run_without_its_start_is_taken_as_it_comes() {
+fn a_record_without_a_start_time_is_applied() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, news(None, 2, &[run(2, "up", 9, 200)]));
+  catalog.offer(now, news(None, 2, &[incarnation(2, "up", 9, 200)]));
   let record = listed(3, "up", 9, "a", Presence::Leaving);
   let change = catalog.offer(now, news(Some(2), 3, &[record]));
   assert_eq!(change.targets.len(), 1);
 }
 
-/// An agent whose upstream has opened `flow(1, 1)` and answered a request in it.
+/// An agent whose upstream has opened `flow(1, 1)`, with a request of it in flight.
 fn with_flow() -> Agent {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[run(3, "up", 9, 100)]));
+  agent.platform(news(Some(2), 3, &[incarnation(3, "up", 9, 100)]));
   agent.frame(
     1,
     &carry(Purpose::Open),
@@ -76,29 +76,29 @@
   agent
 }
 
-/// The work that an agent tells of.
+/// The number of requests in flight that an agent reports.
 fn work(agent: &Agent) -> u64 {
   let work = &agent.machine.dump(agent.now)["load"]["work"];
   work.as_u64().expect("a number")
 }
 
 #[test]
-fn what_a_run_before_had_to_do_is_forgotten() {
+fn requests_of_a_previous_incarnation_are_discarded() {
   let mut agent = with_flow();
   assert_eq!(work(&agent), 1);
-  agent.platform(news(Some(3), 4, &[run(4, "up", 9, 200)]));
+  agent.platform(news(Some(3), 4, &[incarnation(4, "up", 9, 200)]));
   assert_eq!(work(&agent), 0);
 }
 
 #[test]
-fn a_word_of_the_same_run_changes_nothing_of_its_work() {
+fn a_record_of_the_same_incarnation_keeps_its_requests() {
   let mut agent = with_flow();
-  agent.platform(news(Some(3), 4, &[run(4, "up", 9, 100)]));
+  agent.platform(news(Some(3), 4, &[incarnation(4, "up", 9, 100)]));
   assert_eq!(work(&agent), 1);
 }
 
 #[test]
-fn a_flow_that_its_upstream_has_forgotten_is_said_to_be_lost() {
+fn a_confirmed_flow_that_is_bounced_is_reported_lost() {
   let mut agent = with_flow();
   let sent = agent.packet(Packet::data(flow(1, 1), 2, 101).returned());
   assert_matches!(
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn a_flow_that_the_upstream_may_never_have_had_is_not_said_to_be_lost() {
+fn an_unconfirmed_flow_that_is_bounced_is_not_reported_lost() {
   let mut agent = agent();
-  // A balancer believes that it is here.
+  // A balancer considers the agent the flow's owner.
   let held = Frame::Held {
     flows: vec![flow(1, 1)],
   };
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_flow_that_another_opening_packet_began_anew_is_not_said_to_be_lost() {
+fn a_flow_that_was_opened_anew_is_not_reported_lost() {
   let mut agent = with_flow();
   agent.packet(Packet::answer(flow(1, 1), 7000));
   let sent = agent.packet(Packet::data(flow(1, 1), 2, 101).returned());
@@ -135,7 +135,7 @@
   );
 }
 
-/// The word that `flow(1, 1)` is lost.
+/// The report that `flow(1, 1)` is lost.
 fn lost() -> Frame {
   Frame::Absent {
     flows: vec![flow(1, 1)],
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn the_caller_of_a_lost_flow_is_told_without_a_search() {
+fn a_lost_flow_is_reset_without_a_search() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &found(flow(1, 1)), &[]);
@@ -153,11 +153,11 @@
   let sent = balancer.frame(11, &lost(), &packet.write());
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   let sent = balancer.pass(Duration::from_millis(1));
-  assert_eq!(sent, [], "nobody is asked");
+  assert_eq!(sent, [], "no agent is queried");
 }
 
 #[test]
-fn a_flow_that_was_opened_elsewhere_since_is_not_lost() {
+fn a_lost_flow_that_is_opening_elsewhere_is_not_reset() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let at = carried(&sent)[0].0;
@@ -172,10 +172,10 @@
 }
 
 #[test]
-fn a_target_that_was_given_up_gets_new_flows_once_it_has_started_again() {
+fn a_target_that_was_down_gets_new_flows_once_it_has_restarted() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[run(5, "up-11", 11, 100)]));
-  // The other one has much to do, and this one says that it is down.
+  balancer.platform(news(Some(4), 5, &[incarnation(5, "up-11", 11, 100)]));
+  // The other target is busy, and this one reports that it is down.
   let busy = Load {
     service_ms: 40,
     work: 3,
@@ -189,7 +189,7 @@
   tell(&mut balancer, 11, 1, down);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
-  balancer.platform(news(Some(5), 6, &[run(6, "up-11", 11, 200)]));
+  balancer.platform(news(Some(5), 6, &[incarnation(6, "up-11", 11, 200)]));
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), [(11, Purpose::Open)]);
 }
