--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -1,4 +1,5 @@
-//! What a balancer does for agents that stop as planned and start again.
+//! A balancer keeps the handover of an agent that restarts gracefully, and buffers its packets
+//! meanwhile.
 
 use {
   crate::{
@@ -12,7 +13,7 @@
 };
 
 #[test]
-fn an_agent_that_has_started_again_hears_its_flows() {
+fn an_agent_that_has_restarted_is_sent_its_flows() {
   let mut balancer = balancer();
   balancer.frame(11, &found(flow(1, 1)), &[]);
   let sent = tell(&mut balancer, 11, 2, Load::default());
@@ -23,7 +24,7 @@
   );
 }
 
-fn passed(port: u16) -> Passed {
+fn flow_record(port: u16) -> Passed {
   Passed {
     flow: flow(port, 1),
     open: true,
@@ -32,10 +33,10 @@
 }
 
 #[test]
-fn a_handover_that_another_run_may_have_followed_does_not_count_as_whole() {
+fn an_old_handover_does_not_count_as_whole() {
   let mut balancer = balancer();
   let frame = Frame::Handover {
-    flows: vec![passed(1)],
+    flows: vec![flow_record(1)],
     part: 0,
     parts: 1,
   };
@@ -49,11 +50,11 @@
 }
 
 #[test]
-fn a_handover_is_not_made_whole_by_parts_of_an_earlier_one() {
+fn parts_of_an_earlier_handover_do_not_make_a_later_one_whole() {
   let mut balancer = balancer();
   for part in [0, 1] {
     let frame = Frame::Handover {
-      flows: vec![passed(part)],
+      flows: vec![flow_record(part)],
       part,
       parts: 2,
     };
@@ -67,12 +68,12 @@
   );
 }
 
-/// A balancer with a flow at the agent on host 11, which has just said its last word.
+/// A balancer with a flow at the agent on host 11, which has just sent its handover.
 fn with_stopped_agent() -> Balancer {
   let mut balancer = balancer();
   balancer.frame(11, &found(flow(1, 1)), &[]);
   let frame = Frame::Handover {
-    flows: vec![passed(1)],
+    flows: vec![flow_record(1)],
     part: 0,
     parts: 1,
   };
@@ -81,27 +82,27 @@
 }
 
 #[test]
-fn packets_for_an_agent_that_stops_as_planned_wait_for_its_next_run() {
+fn packets_for_an_agent_that_restarts_are_buffered_until_its_next_incarnation() {
   let mut balancer = with_stopped_agent();
   let packet = Packet::data(flow(1, 1), 2, 100);
   assert_eq!(balancer.packet(packet), []);
   balancer.pass(Duration::from_millis(200));
-  // Its caller sends it again; it goes on once.
+  // A retransmission is not buffered as well.
   assert_eq!(balancer.packet(packet), []);
   balancer.pass(Duration::from_millis(300));
   let sent = tell(&mut balancer, 11, 2, Load::default());
   assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
-  let handed = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Handover { .. }, _));
-  let first = sent.iter().position(handed).expect("a list");
-  let carry = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Carry { .. }, _));
-  assert!(sent.iter().position(carry) > Some(first), "{sent:?}");
-  // What comes then goes on at once.
+  let is_handover = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Handover { .. }, _));
+  let first = sent.iter().position(is_handover).expect("a handover");
+  let is_carry = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Carry { .. }, _));
+  assert!(sent.iter().position(is_carry) > Some(first), "{sent:?}");
+  // Later packets are forwarded at once.
   let sent = balancer.packet(Packet::data(flow(1, 1), 3, 110));
   assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
 }
 
 #[test]
-fn packets_for_an_agent_that_does_not_come_back_go_on_after_a_while() {
+fn packets_for_an_agent_that_does_not_restart_are_forwarded_after_a_while() {
   let mut balancer = with_stopped_agent();
   assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
   let mut sent = Vec::new();
@@ -112,26 +113,26 @@
 }
 
 #[test]
-fn a_handover_goes_back_to_the_next_run_whole() {
+fn a_handover_is_returned_to_the_next_incarnation_whole() {
   let mut balancer = balancer();
   for part in [1, 0] {
     let frame = Frame::Handover {
-      flows: vec![passed(part)],
+      flows: vec![flow_record(part)],
       part,
       parts: 2,
     };
     balancer.frame(11, &frame, &[]);
   }
   let sent = tell(&mut balancer, 11, 2, Load::default());
-  let whole = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Handover { parts: 2, .. }, _));
-  assert_eq!(sent.iter().filter(whole).count(), 2, "{sent:?}");
+  let is_whole = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Handover { parts: 2, .. }, _));
+  assert_eq!(sent.iter().filter(is_whole).count(), 2, "{sent:?}");
 }
 
 #[test]
-fn a_handover_with_a_part_lost_does_not_count_as_whole() {
+fn a_handover_that_lacks_a_part_does_not_count_as_whole() {
   let mut balancer = balancer();
   let frame = Frame::Handover {
-    flows: vec![passed(1)],
+    flows: vec![flow_record(1)],
     part: 0,
     parts: 2,
   };
