--- a/tests/datagram/trying.rs
+++ b/tests/datagram/trying.rs
@@ -1,4 +1,5 @@
-//! An agent has a packet tried at others for a balancer, and each tells the balancer itself.
+//! An agent fans a flow test out to other agents for a balancer, and each of them reports its
+//! outcome to the balancer.
 
 use {
   crate::{
@@ -17,11 +18,11 @@
   std::time::Duration,
 };
 
-/// The balancer that wants to know.
+/// The host of the balancer that has started the test.
 const BALANCER: u8 = 1;
 
-/// An agent that may have met flows before it started.
-fn started_again() -> Agent {
+/// An agent whose previous incarnation may have opened flows.
+fn restarted_agent() -> Agent {
   agent_of(false)
 }
 
@@ -36,7 +37,7 @@
   }
 }
 
-fn attempt(service: &str) -> Frame {
+fn flow_test(service: &str) -> Frame {
   Frame::Try {
     balancer: peer(BALANCER),
     complete: Revision(2),
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn an_agent_sends_a_packet_on_and_tries_it_itself_where_it_is_named() {
+fn an_agent_forwards_a_test_and_runs_it_itself_where_it_is_named() {
   let mut agent = agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
   let fan = Frame::Fan {
@@ -58,16 +59,16 @@
   assert_matches!(
     &sent[..],
     [Sent::Frame(on, first, bytes), Sent::Frame(back, Frame::Absent { .. }, _)]
-      if *on == peer(8) && *first == attempt("b") && *bytes == packet.write()
+      if *on == peer(8) && *first == flow_test("b") && *bytes == packet.write()
         && *back == peer(BALANCER)
   );
 }
 
 #[test]
-fn a_packet_that_was_sent_on_is_tried_and_the_balancer_is_told() {
-  let mut agent = started_again();
+fn the_outcome_of_a_forwarded_test_is_sent_to_the_balancer() {
+  let mut agent = restarted_agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
-  let sent = agent.frame(8, &attempt("a"), &packet.write());
+  let sent = agent.frame(8, &flow_test("a"), &packet.write());
   assert_eq!(sent, [Sent::Upstream(packet)]);
   let sent = agent.packet(packet.returned());
   assert_matches!(
@@ -96,18 +97,18 @@
 }
 
 #[test]
-fn a_packet_of_another_service_is_not_tried() {
+fn a_packet_of_another_service_is_not_tested() {
   let mut agent = Stepped::agent(9, "a", false);
   let packet = Packet::data(flow(1, 1), 2, 101);
-  let sent = agent.frame(8, &attempt("b"), &packet.write());
+  let sent = agent.frame(8, &flow_test("b"), &packet.write());
   assert!(!sent.contains(&Sent::Upstream(packet)), "{sent:?}");
 }
 
 #[test]
-fn a_reset_by_an_upstream_that_is_only_tried_does_not_reach_the_caller() {
-  let mut agent = started_again();
+fn a_reset_of_a_flow_under_test_does_not_reach_the_caller() {
+  let mut agent = restarted_agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
-  agent.frame(8, &attempt("a"), &packet.write());
+  agent.frame(8, &flow_test("a"), &packet.write());
   let sent = agent.packet(reset_of(packet));
   assert_matches!(
     &sent[..],
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_reset_of_a_flow_that_is_here_reaches_the_caller() {
+fn a_reset_of_an_open_flow_reaches_the_caller() {
   let mut agent = agent();
   let held = Frame::Held {
     flows: vec![flow(1, 1)],
@@ -127,13 +128,13 @@
 }
 
 #[test]
-fn a_flow_whose_try_was_reset_counts_as_work_no_more() {
-  let mut agent = started_again();
-  // A late opening packet, and then a packet of a flow that the run before may have had.
+fn a_flow_whose_test_was_reset_no_longer_counts_as_work() {
+  let mut agent = restarted_agent();
+  // A late opening packet, then a packet of a flow that the previous incarnation may have opened.
   let open = Packet::open(flow(1, 1), 2);
   agent.frame(BALANCER, &carry(Purpose::Open), &open.write());
   let packet = Packet::data(flow(1, 1), 2, 101);
-  agent.frame(BALANCER, &attempt("a"), &packet.write());
+  agent.frame(BALANCER, &flow_test("a"), &packet.write());
   agent.packet(reset_of(packet));
   agent.pass(Duration::from_secs(1));
   let state = agent.machine.dump(agent.now);
