--- a/src/datagram/agent/cold.rs
+++ b/src/datagram/agent/cold.rs
@@ -26,8 +26,6 @@
 /// revision says otherwise, or for as long as a warm-up lasts.
 #[derive(Debug, Default)]
 pub struct Cold {
-  /// When the upstream has warmed up, by the platform's last record.
-  cold_until: Option<Instant>,
   /// The revision of the platform's last record of the upstream.
   last_revision: Revision,
   /// The revision at which its data centre was last opened to new flows.
@@ -38,6 +36,8 @@
   shared_until: Option<Instant>,
   /// A suspected restart of the upstream that the platform has not confirmed or ruled out yet.
   suspected: Option<Suspicion>,
+  /// When the upstream has warmed up, by the platform's last record.
+  warm_at: Option<Instant>,
 }
 
 /// A suspected restart of the upstream.
@@ -108,9 +108,9 @@
       .suspected
       .is_some_and(|suspicion| revision > suspicion.known);
     if !left.is_zero() || settles {
-      self.cold_until = Some(now + left);
+      self.warm_at = Some(now + left);
     } else {
-      self.cold_until = self.cold_until.map(|until| until.min(now));
+      self.warm_at = self.warm_at.map(|until| until.min(now));
     }
     if settles {
       self.suspected = None;
@@ -135,7 +135,7 @@
     let is_suspected = self
       .suspected
       .is_some_and(|suspicion| now.saturating_duration_since(suspicion.since) < lasts);
-    let is_cold = is_suspected || self.cold_until.is_some_and(|until| now < until + WINDOW);
+    let is_cold = is_suspected || self.warm_at.is_some_and(|until| now < until + WINDOW);
     if !is_cold {
       return None;
     }
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -89,8 +89,8 @@
     out.packet(Via::Upstream, self.upstream.address, packet.bytes);
   }
 
-  /// Delivers a packet of an existing flow, and tests the flow where it is unknown and may have
-  /// been opened by a previous incarnation. Reports other unknown flows absent.
+  /// Delivers a packet of a flow that the upstream owns. An unknown flow is tested if a previous
+  /// incarnation may have opened it, and reported absent otherwise.
   pub(super) fn deliver(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let flow = packet.head.flow;
     let forgetful = now < self.forgetful_until;
@@ -346,8 +346,8 @@
   }
 }
 
-/// Tells a balancer that the upstream does not own a flow; returns the packet if it was to be
-/// delivered.
+/// Tells a balancer that the upstream does not own a flow, and sends a packet that was to be
+/// delivered back with that.
 fn send_absent(packet: &CallerPacket, known: Known, out: &mut Outbox) {
   let returned = match packet.purpose {
     Purpose::Deliver => packet.bytes,
--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -85,8 +85,11 @@
 
   /// Uses a slot that is reserved for the balancer; false where there is none.
   pub fn redeem(&mut self, balancer: SocketAddrV4) -> bool {
-    let mut reserved = self.reserved.iter();
-    let Some(index) = reserved.position(|(_, other)| *other == balancer) else {
+    let Some(index) = self
+      .reserved
+      .iter()
+      .position(|(_, other)| *other == balancer)
+    else {
       return false;
     };
     self.reserved.remove(index);
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -59,7 +59,7 @@
   pub(super) awaiting_request: BTreeSet<(Instant, Flow)>,
   /// The start time of the upstream's incarnation; none where the target list states none.
   pub(super) born: Option<Born>,
-  /// The port of callers, to which their packets are sent.
+  /// The UDP port at which callers receive packets.
   pub(super) callers_port: u16,
   /// From when on new flows are refused since the data centre is closed; none while it is open.
   pub(super) closed_from: Option<Instant>,
@@ -70,17 +70,17 @@
   /// Adaptive timeout from a flow's opening packet to its first request.
   pub(super) first_request_timeout: Patience,
   pub(super) flows: HashMap<Flow, FlowEntry>,
-  /// Until when flows of a previous incarnation may appear that this one does not know.
-  pub(super) forgetful_until: Instant,
   pub(super) grants: Grants,
   /// The parts of the previous incarnation's handover that have come.
   pub(super) handed: Handover,
   pub(super) last_expiry: Instant,
   pub(super) last_report: Instant,
-  /// Whether the upstream is draining: it takes no new flows and keeps its old ones.
-  pub(super) leaving: bool,
   /// When due work was last done.
   pub(super) looked: Instant,
+  /// Whether the upstream is draining: it takes no new flows and keeps its old ones.
+  pub(super) leaving: bool,
+  /// Until when flows of a previous incarnation may appear that this one does not know.
+  pub(super) forgetful_until: Instant,
   /// The load that was last sent to balancers.
   pub(super) reported_load: Load,
   /// How many requests the upstream works on at once; none before the target list has come.
@@ -123,13 +123,13 @@
       data_centre: settings.data_centre.clone(),
       first_request_timeout: Patience::new(tuning.expected.0, tuning.expected.1),
       flows: HashMap::new(),
-      forgetful_until: now + forgetful,
       grants: Grants::default(),
       handed: Handover::default(),
       last_expiry: now,
       last_report: now,
-      leaving: false,
       looked: now,
+      leaving: false,
+      forgetful_until: now + forgetful,
       reported_load: Load::default(),
       slots: None,
       stopping: false,
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -46,6 +46,7 @@
   consecutive_resets: u32,
   /// The share of answers that were most likely errors.
   failed: f64,
+  under_way: u16,
   /// When the last request was answered; none once the measurements have been dropped.
   last_measured: Option<Instant>,
   /// Until when the circuit is open; none while it is closed. It is half open after that.
@@ -56,7 +57,6 @@
   service_ms: f64,
   /// When the first opening packet since the upstream's last packet was sent.
   unanswered_since: Option<Instant>,
-  under_way: u16,
   /// A high quantile of the times of answers, in milliseconds.
   usual_ms: f64,
 }
