--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -93,9 +93,9 @@
   /// incarnation may have opened it, and reported absent otherwise.
   pub(super) fn deliver(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let flow = packet.head.flow;
-    let forgetful = now < self.forgetful_until;
+    let recovering = now < self.recovering_until;
     let Some(entry) = self.flows.get_mut(&flow) else {
-      if forgetful {
+      if recovering {
         self.start_test(now, packet, out);
       } else {
         send_absent(packet, self.known_targets(now, packet.complete), out);
@@ -108,7 +108,7 @@
         entry.state = FlowState::Open;
       }
       // A late opening packet may belong to a flow that the previous incarnation had opened.
-      FlowState::Opening if forgetful => {
+      FlowState::Opening if recovering => {
         self.start_test(now, packet, out);
         return;
       }
@@ -203,8 +203,8 @@
     flow: &Flow,
     acknowledges: u32,
   ) -> Ownership {
-    let forgetful = now < self.forgetful_until;
-    let unknown = if forgetful {
+    let recovering = now < self.recovering_until;
+    let unknown = if recovering {
       Ownership::Unknown
     } else {
       Ownership::NotOwned
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -80,7 +80,7 @@
   /// Whether the upstream is draining: it takes no new flows and keeps its old ones.
   pub(super) leaving: bool,
   /// Until when flows of a previous incarnation may appear that this one does not know.
-  pub(super) forgetful_until: Instant,
+  pub(super) recovering_until: Instant,
   /// The load that was last sent to balancers.
   pub(super) reported_load: Load,
   /// How many requests the upstream works on at once; none before the target list has come.
@@ -107,7 +107,7 @@
     counter: Arc<Counter>,
   ) -> Self {
     let spread = Spread::new(now, settings, false, incarnation, tuning);
-    let forgetful = if settings.first_start {
+    let recovering = if settings.first_start {
       Duration::ZERO
     } else {
       tuning.amnesia
@@ -129,7 +129,7 @@
       last_report: now,
       looked: now,
       leaving: false,
-      forgetful_until: now + forgetful,
+      recovering_until: now + recovering,
       reported_load: Load::default(),
       slots: None,
       stopping: false,
@@ -372,10 +372,10 @@
   }
 
   fn dump(&self, now: Instant) -> serde_json::Value {
-    let forgetful = self.forgetful_until.saturating_duration_since(now);
+    let recovering = self.recovering_until.saturating_duration_since(now);
     json!({
       "flows": self.flows.len(),
-      "forgetful_ms": forgetful.as_millis() as u64,
+      "forgetful_ms": recovering.as_millis() as u64,
       "closed": self.is_closed(now),
       "granted": self.grants.reserved(),
       "leaving": self.leaving,
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -36,12 +36,12 @@
       let entry = self.flows.entry(record.flow).or_insert_with(fresh);
       entry.restore(record);
     }
-    if now < self.forgetful_until && self.handed.take(now, part, parts, flows) {
+    if now < self.recovering_until && self.handed.take(now, part, parts, flows) {
       log::info!(
         from:% = from, flows = self.flows.len();
         "agent: received all flows of the previous incarnation."
       );
-      self.forgetful_until = now;
+      self.recovering_until = now;
     }
   }
 
@@ -60,7 +60,7 @@
     let records = entries.filter_map(|(flow, entry)| entry.flow_record(*flow));
     let handover = Handover::new(records.collect());
     let is_tested = |entry: &FlowEntry| matches!(entry.state, FlowState::Tested { .. });
-    let whole = now >= self.forgetful_until && !self.flows.values().any(is_tested);
+    let whole = now >= self.recovering_until && !self.flows.values().any(is_tested);
     let mut balancers = BTreeSet::from_iter(self.spread.balancers(now));
     if !self.spread.knows_all() {
       // Balancers that exchange no heartbeats with this agent, but forward packets to it.
