--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -138,7 +138,7 @@
       if !std::mem::take(&mut entry.awaits_request) {
         self.work.begin();
       }
-      entry.requests_ahead = self.work.under_way() - 1;
+      entry.requests_ahead = self.work.in_flight() - 1;
     }
     if packet.purpose == Purpose::Test {
       out.frame(packet.balancer, &found_frame(flow, &self.upstream), &[]);
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -349,7 +349,7 @@
   fn load_changed(&self) -> bool {
     let reported = self.reported_load;
     let full = self.room(self.looked) == Some(0);
-    self.work.under_way() != reported.work || full != reported.is_full(0)
+    self.work.in_flight() != reported.work || full != reported.is_full(0)
   }
 }
 
@@ -405,7 +405,7 @@
   /// Whether the upstream has answered all requests: an answer that comes after the end is lost
   /// until it is retransmitted.
   fn is_quiet(&self) -> bool {
-    self.work.under_way() == 0
+    self.work.in_flight() == 0
   }
 
   fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -46,7 +46,7 @@
   consecutive_resets: u32,
   /// The share of answers that were most likely errors.
   failed: f64,
-  under_way: u16,
+  in_flight: u16,
   /// When the last request was answered; none once the measurements have been dropped.
   last_measured: Option<Instant>,
   /// Until when the circuit is open; none while it is closed. It is half open after that.
@@ -64,12 +64,12 @@
 impl Work {
   /// Counts a request as in flight.
   pub fn begin(&mut self) {
-    self.under_way = self.under_way.saturating_add(1);
+    self.in_flight = self.in_flight.saturating_add(1);
   }
 
   /// Counts a request as no longer in flight, answered or not.
   pub fn end(&mut self) {
-    self.under_way = self.under_way.saturating_sub(1);
+    self.in_flight = self.in_flight.saturating_sub(1);
   }
 
   /// Ends a request that was answered after `time` and closes the circuit. `ahead` requests were
@@ -135,7 +135,7 @@
 
   /// The expected time until one more request would be answered, in milliseconds.
   pub fn wait_ms(&self, slots: u16) -> f64 {
-    wait_ms(self.service_ms, self.under_way, slots)
+    wait_ms(self.service_ms, self.in_flight, slots)
   }
 
   /// Drops measurements that are too old, so that a target which gets no flows because of them gets
@@ -168,8 +168,8 @@
   }
 
   /// The number of requests in flight.
-  pub fn under_way(&self) -> u16 {
-    self.under_way
+  pub fn in_flight(&self) -> u16 {
+    self.in_flight
   }
 
   /// The load that is reported to balancers, without its `room`; `flows` is the number of known
@@ -185,7 +185,7 @@
       flows: flows.min(usize::from(u16::MAX)) as u16,
       room: None,
       service_ms: to_count(self.service_ms) as u16,
-      work: self.under_way,
+      work: self.in_flight,
     }
   }
 }
