--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -265,7 +265,7 @@
     let previous = self.born;
     self.born = born.max(previous);
     if previous.is_some() && self.born > previous {
-      self.reborn();
+      self.upstream_restarted();
     }
   }
 
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -78,7 +78,7 @@
   /// Discards what was learnt from the upstream's previous incarnation, as the upstream has
   /// restarted. The flows stay until the upstream bounces their packets, since some may have been
   /// opened after the restart.
-  pub(super) fn reborn(&mut self) {
+  pub(super) fn upstream_restarted(&mut self) {
     log::info!(flows = self.flows.len(); "agent: upstream has restarted.");
     self.work = Work::default();
     self.grants = Grants::default();
