--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -72,7 +72,7 @@
   pub(super) flows: HashMap<Flow, FlowEntry>,
   pub(super) grants: Grants,
   /// The parts of the previous incarnation's handover that have come.
-  pub(super) handed: Handover,
+  pub(super) handover: Handover,
   pub(super) last_expiry: Instant,
   pub(super) last_report: Instant,
   /// When due work was last done.
@@ -124,7 +124,7 @@
       first_request_timeout: Patience::new(tuning.expected.0, tuning.expected.1),
       flows: HashMap::new(),
       grants: Grants::default(),
-      handed: Handover::default(),
+      handover: Handover::default(),
       last_expiry: now,
       last_report: now,
       looked: now,
@@ -193,7 +193,7 @@
         self.forward(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
-        self.handed(now, from, flows, part, parts);
+        self.take_handover(now, from, flows, part, parts);
         Ok(())
       }
       Frame::Held { flows } => {
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -23,7 +23,7 @@
 
   /// Restores flows from a part of the previous incarnation's handover. Once all parts have come,
   /// no flow is unknown any more.
-  pub(super) fn handed(
+  pub(super) fn take_handover(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -36,7 +36,7 @@
       let entry = self.flows.entry(record.flow).or_insert_with(fresh);
       entry.restore(record);
     }
-    if now < self.recovering_until && self.handed.take(now, part, parts, flows) {
+    if now < self.recovering_until && self.handover.take(now, part, parts, flows) {
       log::info!(
         from:% = from, flows = self.flows.len();
         "agent: received all flows of the previous incarnation."
