--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -76,7 +76,7 @@
   pub(super) last_expiry: Instant,
   pub(super) last_report: Instant,
   /// When due work was last done.
-  pub(super) looked: Instant,
+  pub(super) last_run: Instant,
   /// Whether the upstream is draining: it takes no new flows and keeps its old ones.
   pub(super) leaving: bool,
   /// Until when flows of a previous incarnation may appear that this one does not know.
@@ -127,7 +127,7 @@
       handover: Handover::default(),
       last_expiry: now,
       last_report: now,
-      looked: now,
+      last_run: now,
       leaving: false,
       recovering_until: now + recovering,
       reported_load: Load::default(),
@@ -284,8 +284,8 @@
 
   /// Does what is due: ends tests, drops counted requests that did not come, removes idle flows and
   /// reports the load.
-  pub(super) fn look(&mut self, now: Instant, out: &mut Outbox) {
-    self.looked = now;
+  pub(super) fn run_due(&mut self, now: Instant, out: &mut Outbox) {
+    self.last_run = now;
     while let Some((deadline, flow)) = self.tests.front().copied() {
       if deadline > now {
         break;
@@ -348,7 +348,7 @@
   /// Whether the load differs from the one that was last reported.
   fn load_changed(&self) -> bool {
     let reported = self.reported_load;
-    let full = self.room(self.looked) == Some(0);
+    let full = self.room(self.last_run) == Some(0);
     self.work.in_flight() != reported.work || full != reported.is_full(0)
   }
 }
@@ -364,7 +364,7 @@
     let request = self.awaiting_request.first().map(|(deadline, _)| *deadline);
     let status = self.spread.deadline();
     let report = (self.load_changed()).then_some(self.last_report + self.tuning.report);
-    let room = self.cold.deadline(self.looked, self.warmup());
+    let room = self.cold.deadline(self.last_run, self.warmup());
     [grant, report, request, room, test]
       .into_iter()
       .flatten()
@@ -427,7 +427,7 @@
   }
 
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
-    self.look(now, out);
+    self.run_due(now, out);
     self.grant(now, out);
   }
 }
