--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -6,7 +6,7 @@
 
 /// How long a granted slot is reserved: longer than a round trip to another data centre and the
 /// time that a busy process takes to handle its packets.
-const KEPT: Duration = Duration::from_millis(25);
+const GRANT_TTL: Duration = Duration::from_millis(25);
 
 /// How long a backlog that a balancer reported counts: longer than the interval of its reports.
 const BACKLOG_TTL: Duration = Duration::from_millis(350);
@@ -79,7 +79,7 @@
     let (balancer, backlog) = wanting.max_by_key(|(_, backlog)| backlog.wanted())?;
     backlog.granted += 1;
     let balancer = *balancer;
-    self.reserved.push_back((now + KEPT, balancer));
+    self.reserved.push_back((now + GRANT_TTL, balancer));
     Some(balancer)
   }
 
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -26,11 +26,11 @@
 };
 
 /// How often idle flows are removed.
-const EXPIRE: Duration = Duration::from_secs(2);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long a flow that the upstream bounced is remembered as absent. The upstream is given none of
 /// its packets in that time, since it counts each as a stray.
-const ABSENT_KEPT: Duration = Duration::from_secs(5);
+const ABSENT_TTL: Duration = Duration::from_secs(5);
 
 /// A request that is unanswered for so long no longer counts as in flight.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -304,7 +304,7 @@
         self.work.end();
       }
     }
-    if now >= self.last_expiry + EXPIRE {
+    if now >= self.last_expiry + EXPIRY_INTERVAL {
       self.last_expiry = now;
       self.expire(now);
     }
@@ -328,7 +328,7 @@
     self.flows.retain(|_, entry| {
       let idle_for = now.saturating_duration_since(entry.last_packet);
       let ttl = match entry.state {
-        FlowState::Absent => ABSENT_KEPT,
+        FlowState::Absent => ABSENT_TTL,
         _ => idle,
       };
       let overdue = entry
