--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -56,7 +56,7 @@
       self.release(balancer);
       lapsed += 1;
     }
-    let is_stale = |heard: Instant| now.saturating_duration_since(heard) >= BACKLOG_TTL;
+    let is_stale = |at: Instant| now.saturating_duration_since(at) >= BACKLOG_TTL;
     self.backlogs.retain(|_, backlog| !is_stale(backlog.heard));
     lapsed
   }
