--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -6,8 +6,8 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// An agent takes new flows in a closed data centre for so many times as long as the balancers send
-/// them: each process starts that time when the order reaches it.
+/// In a closed data centre, an agent refuses new flows after this many times the longest delay after
+/// which balancers stop sending them, since the order may reach a balancer later.
 const CLOSE_DELAY_FACTOR: f64 = 1.5;
 
 impl<C: Codec> Machine<C> {
@@ -58,7 +58,7 @@
     Some(room.saturating_sub(self.grants.reserved()))
   }
 
-  /// The limit during the upstream's warm-up; none where the operator states none.
+  /// The operator's limit for a warm-up, if any; the default until the configuration has come.
   pub(super) fn warmup(&self) -> Option<Warmup> {
     let catalog = self.spread.catalog();
     match catalog.configuration() {
@@ -73,7 +73,7 @@
     self.cold.suspect_restart(now, known);
   }
 
-  /// Takes from the catalog whether the data centre is closed and how long the upstream warms up.
+  /// Takes from the catalog whether the data centre is closed and how much of the warm-up is left.
   pub(super) fn update_admission(&mut self, now: Instant) {
     let closures = self.spread.catalog().closures();
     let closed = closures.is_closed(&self.data_centre);
--- a/src/datagram/agent/cold.rs
+++ b/src/datagram/agent/cold.rs
@@ -9,8 +9,7 @@
 /// The sliding window in which new flows are counted, as `Warmup::per_second` states.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The limit that applies until an agent that has just started has received the configuration. It
-/// is lower than the limits that operators state.
+/// The limit until the agent has received the configuration: lower than operators usually set.
 pub const DEFAULT_WARMUP: Warmup = Warmup {
   lasts: Duration::MAX,
   per_second: 8,
@@ -21,9 +20,9 @@
 
 /// Limits the rate of new flows while the upstream warms up (slow start).
 ///
-/// What the platform writes of the warm-up is late by up to a heartbeat, and an upstream may
-/// restart unnoticed. Where a restart is suspected, the upstream counts as warming up until a later
-/// revision says otherwise, or for as long as a warm-up lasts.
+/// The platform's record of the warm-up may be out of date by a heartbeat, and an upstream may
+/// restart unnoticed. Where a restart is suspected, new flows are limited until a later record
+/// says otherwise, or for as long as a warm-up lasts.
 #[derive(Debug, Default)]
 pub struct Cold {
   /// The revision of the platform's last record of the upstream.
@@ -43,7 +42,7 @@
 /// A suspected restart of the upstream.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-  /// The platform's records up to this revision do not take the restart into account.
+  /// Records up to this revision may have been written before the restart.
   known: Revision,
   since: Instant,
 }
@@ -63,7 +62,7 @@
     }
   }
 
-  /// Suspects a restart of the upstream that the platform's records up to `known` do not show.
+  /// Suspects a restart of the upstream that records up to `known` may not show.
   pub fn suspect_restart(&mut self, now: Instant, known: Revision) {
     self.suspected = Some(Suspicion {
       known: known.max(self.last_revision),
@@ -90,15 +89,16 @@
     self.opens.push_back(now);
   }
 
-  /// Keeps a suspected restart suspected although the first target list has come, as of `known`:
-  /// the list may have been written before the restart.
+  /// Lets only records later than `known`, the revision of the first target list, settle a
+  /// suspected restart: the list may have been written before it.
   pub fn extend_suspicion(&mut self, known: Revision) {
     if let Some(suspicion) = &mut self.suspected {
       suspicion.known = known.max(suspicion.known);
     }
   }
 
-  /// Takes the platform's record at `revision`, by which the warm-up lasts for `left` more.
+  /// Sets how much of the warm-up is left by the platform's record at `revision`, unless a record
+  /// of that or a later revision has come.
   pub fn set_warmup_left(&mut self, now: Instant, revision: Revision, left: Duration) {
     if revision <= self.last_revision {
       return;
@@ -130,7 +130,7 @@
   /// the operator's limit for its service.
   pub fn room(&self, now: Instant, warmup: Option<Warmup>) -> Option<u16> {
     let warmup = warmup?;
-    // A window that begins during the warm-up is limited to its end.
+    // A window that begins during the warm-up is limited as a whole.
     let lasts = warmup.lasts.saturating_add(WINDOW);
     let is_suspected = self
       .suspected
