--- a/src/datagram/agent/answers.rs
+++ b/src/datagram/agent/answers.rs
@@ -19,7 +19,7 @@
   ///
   /// # Errors
   ///
-  /// The codec's code where the packet can't be read.
+  /// A code where the packet can't be read.
   pub(super) fn take_packet(
     &mut self,
     now: Instant,
@@ -119,9 +119,9 @@
     }
   }
 
-  /// Handles a packet that the upstream bounced since it does not own its flow. A retransmission of
-  /// an opening packet changes nothing; any other packet ends the flow here, and its balancer is
-  /// told.
+  /// Handles a packet that the upstream bounced since it does not own its flow. The opening packet
+  /// of a flow that the upstream has accepted changes nothing; any other packet ends the flow here,
+  /// which is reported to its balancer.
   pub(super) fn take_bounced(
     &mut self,
     now: Instant,
@@ -146,7 +146,7 @@
     self.end_work(entry);
     log::info!(
       flow:% = flow, opens = head.opens,
-      known = matches!(entry.map(|entry| entry.state), Some(FlowState::Open)),
+      owned = matches!(entry.map(|entry| entry.state), Some(FlowState::Open)),
       balancer:? = entry.and_then(|entry| entry.balancer);
       "agent: upstream does not own the flow."
     );
@@ -158,11 +158,14 @@
       }
       return;
     }
-    let wanted = !matches!(
+    let returns_packet = !matches!(
       entry.map(|entry| entry.state),
-      Some(FlowState::Tested { wanted: false, .. })
+      Some(FlowState::Tested {
+        returns_packet: false,
+        ..
+      })
     );
-    let packet = if wanted { packet } else { &[] };
+    let packet = if returns_packet { packet } else { &[] };
     self.report_absent(now, flow, entry, packet, out);
   }
 
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -25,7 +25,7 @@
   /// # Errors
   ///
   /// `Code::FrameWrongService` where the packet is meant for another service than the upstream's.
-  pub(super) fn forward(
+  pub(super) fn take_caller_packet(
     &mut self,
     now: Instant,
     packet: &CallerPacket,
@@ -45,8 +45,8 @@
     Ok(())
   }
 
-  /// Gives the upstream an opening packet, unless the flow is refused. A packet that was sent by an
-  /// older configuration, to a route that no longer has this service, is dropped.
+  /// Gives the upstream an opening packet, unless the flow is refused. It is dropped where the
+  /// balancer has an older configuration and the flow's route no longer has this service.
   pub(super) fn open(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let version = packet.version;
     let flow = packet.head.flow;
@@ -55,7 +55,7 @@
     let takes = route.is_some_and(|route| route.backends.takes(&self.upstream.service));
     if catalog.version() > version && !takes {
       log::info!(
-        flow:% = flow, version:% = catalog.version(), sender:% = version;
+        flow:% = flow, version:% = catalog.version(), sender_version:% = version;
         "agent: dropped an opening packet for a route that no longer has this service."
       );
       self.counter.count(Code::PacketUnroutable);
@@ -146,8 +146,9 @@
     out.packet(Via::Upstream, self.upstream.address, packet.bytes);
   }
 
-  /// Answers a balancer that queries `flows`, each with what its caller last acknowledged: owned,
-  /// absent, or unsure where a packet is needed for a test. A flow under test is answered later.
+  /// Answers a balancer that queries `flows`, each with the sequence number that its caller last
+  /// acknowledged: found, absent, or unsure where a packet is needed for a test. A flow under test
+  /// is answered later.
   ///
   /// # Errors
   ///
@@ -224,8 +225,8 @@
     }
   }
 
-  /// Tests whether the upstream owns a flow that this incarnation does not know: the upstream is
-  /// given the packet and bounces it if it does not.
+  /// Tests whether the upstream owns a flow that a previous incarnation may have opened: the
+  /// upstream is given the packet and bounces it if it does not own the flow.
   pub(super) fn start_test(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let flow = packet.head.flow;
     log::info!(flow:% = flow, balancer:% = packet.balancer; "agent: testing an unknown flow.");
@@ -233,7 +234,7 @@
     self.tests.push_back((deadline, flow));
     let state = FlowState::Tested {
       deadline,
-      wanted: packet.purpose == Purpose::Deliver,
+      returns_packet: packet.purpose == Purpose::Deliver,
     };
     let entry = self
       .flows
@@ -262,8 +263,8 @@
     }
   }
 
-  /// Tells the balancer that a flow is not opened, or that it is absent where its packet was not
-  /// meant to open it.
+  /// Reports to the balancer that a flow is refused; for a packet that was not forwarded to open
+  /// the flow, that it is absent.
   pub(super) fn refuse(
     &mut self,
     now: Instant,
@@ -287,8 +288,8 @@
   }
 
   /// Whether the first request of a new flow would be answered too late for its route's objective.
-  /// The agent applies the looser limit of routes with priority to all; balancers apply the
-  /// stricter one to the others.
+  /// The agent applies the limit of routes with priority to all routes; balancers apply a stricter
+  /// one to routes without.
   pub(super) fn would_miss_objective(&self, flow: &Flow) -> bool {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return false;
@@ -346,8 +347,8 @@
   }
 }
 
-/// Tells a balancer that the upstream does not own a flow, and sends a packet that was to be
-/// delivered back with that.
+/// Reports to the balancer that the upstream does not own a flow. A packet that was to be delivered
+/// is returned with the report.
 fn send_absent(packet: &CallerPacket, known: Known, out: &mut Outbox) {
   let returned = match packet.purpose {
     Purpose::Deliver => packet.bytes,
--- a/src/datagram/agent/fan_out.rs
+++ b/src/datagram/agent/fan_out.rs
@@ -16,7 +16,7 @@
   ///
   /// # Errors
   ///
-  /// `Code::FrameWrongService` where another service is named for this agent.
+  /// `Code::FrameWrongService` where `agents` names another service for this agent.
   pub(super) fn fan_out(
     &mut self,
     now: Instant,
@@ -26,7 +26,7 @@
   ) -> Result<(), Code> {
     for (agent, service) in agents {
       if *agent == self.spread.address() {
-        self.forward(now, packet, *service, out)?;
+        self.take_caller_packet(now, packet, *service, out)?;
         continue;
       }
       let frame = Frame::Try {
--- a/src/datagram/agent/flow_entry.rs
+++ b/src/datagram/agent/flow_entry.rs
@@ -9,11 +9,12 @@
 /// What an agent knows of a flow at its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowEntry {
-  /// The revision up to which the balancer that sent its last packet knew the target list.
+  /// The revision up to which the balancer that forwarded its last packet knew the target list,
+  /// opening packets aside.
   pub asker_revision: Revision,
   /// Whether it counts as a request in flight, since its first request is expected shortly.
   pub awaits_request: bool,
-  /// The balancer that its last packet came from.
+  /// The balancer that reports on the flow are sent to.
   pub balancer: Option<SocketAddrV4>,
   /// The bytes that passed either way since its last request was answered.
   pub bytes: u32,
@@ -135,7 +136,7 @@
   Tested {
     /// When the upstream counts as the flow's owner, unless it has bounced the packet by then.
     deadline: Instant,
-    /// Whether the balancer wants a bounced packet back.
-    wanted: bool,
+    /// Whether a bounced packet is returned to the balancer.
+    returns_packet: bool,
   },
 }
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -29,7 +29,7 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long a flow that the upstream bounced is remembered as absent. The upstream is given none of
-/// its packets in that time, since it counts each as a stray.
+/// its packets in that time, since it counts each as a stray packet.
 const ABSENT_TTL: Duration = Duration::from_secs(5);
 
 /// A request that is unanswered for so long no longer counts as in flight.
@@ -40,14 +40,14 @@
 
 /// A caller's packet that a balancer has forwarded.
 pub(super) struct CallerPacket<'a> {
-  /// The balancer that is told what became of the packet.
+  /// The balancer that the outcome is reported to.
   pub(super) balancer: SocketAddrV4,
   pub(super) bytes: &'a [u8],
   /// The revision up to which the balancer knows the target list.
   pub(super) complete: Revision,
   pub(super) head: Head,
   pub(super) purpose: Purpose,
-  /// The configuration that the balancer acts on.
+  /// The version of the balancer's configuration.
   pub(super) version: Version,
 }
 
@@ -173,7 +173,7 @@
         version,
       } => {
         let packet = self.read_caller_packet(from, packet, purpose, complete, version)?;
-        self.forward(now, &packet, service, out)
+        self.take_caller_packet(now, &packet, service, out)
       }
       Frame::Fan {
         agents,
@@ -190,7 +190,7 @@
         version,
       } => {
         let packet = self.read_caller_packet(balancer, packet, Purpose::Test, complete, version)?;
-        self.forward(now, &packet, service, out)
+        self.take_caller_packet(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
         self.take_handover(now, from, flows, part, parts);
@@ -236,7 +236,7 @@
     let first = self.spread.catalog().complete() == Revision::default();
     let change = self.spread.news(now, origin, news, out);
     if first {
-      // The first list may have been written before this start.
+      // The first target list may have been written before a suspected restart.
       self.cold.extend_suspicion(self.spread.catalog().complete());
     }
     self.apply_change(now, &change);
@@ -345,7 +345,8 @@
     self.spread.expire(now);
   }
 
-  /// Whether the load differs from the one that was last reported.
+  /// Whether the number of requests in flight, or whether the upstream has room for new flows, has
+  /// changed since the last report.
   fn load_changed(&self) -> bool {
     let reported = self.reported_load;
     let full = self.room(self.last_run) == Some(0);
