--- a/src/datagram/agent/granting.rs
+++ b/src/datagram/agent/granting.rs
@@ -9,8 +9,8 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// One request more than there are slots is granted for each so many slots, so that no slot is idle
-/// while its next request is on its way.
+/// One request beyond the slots is granted per this many slots, so that no slot is idle while its
+/// next request is on its way.
 const SLOTS_PER_EXTRA_GRANT: u16 = 2;
 
 impl<C: Codec> Machine<C> {
@@ -29,8 +29,8 @@
     Ok(())
   }
 
-  /// Grants the free slots to balancers that have flows queued. This happens after each event,
-  /// since the loads that balancers receive are older than the time of a request.
+  /// Grants the free slots to balancers that have flows queued. Runs after each event, since the
+  /// loads that balancers know may be older than a request takes.
   pub(super) fn grant(&mut self, now: Instant, out: &mut Outbox) {
     let lapsed = self.grants.expire(now);
     self.counter.add("grants.lapsed", lapsed);
--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -120,7 +120,7 @@
     self.backlogs.insert(balancer, backlog);
   }
 
-  /// Makes the slot of a lapsed grant available to the balancer's backlog again.
+  /// Takes a lapsed grant off the balancer's count, so that its flow may be granted another slot.
   fn release(&mut self, balancer: SocketAddrV4) {
     if let Some(backlog) = self.backlogs.get_mut(&balancer) {
       backlog.granted = backlog.granted.saturating_sub(1);
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -47,7 +47,7 @@
   /// The share of answers that were most likely errors.
   failed: f64,
   in_flight: u16,
-  /// When the last request was answered; none once the measurements have been dropped.
+  /// When a service time was last measured; none once the measurements have been dropped.
   last_measured: Option<Instant>,
   /// Until when the circuit is open; none while it is closed. It is half open after that.
   open_until: Option<Instant>,
@@ -57,7 +57,7 @@
   service_ms: f64,
   /// When the first opening packet since the upstream's last packet was sent.
   unanswered_since: Option<Instant>,
-  /// A high quantile of the times of answers, in milliseconds.
+  /// The approximate high quantile of service times, in milliseconds.
   usual_ms: f64,
 }
 
