--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -572,12 +572,12 @@
   }
   deliver(&mut agent, Purpose::Open, Packet::open(flow(4, 1), 0));
   let sent = agent.packet(Packet::answer(flow(4, 1), 100));
-  // Counting the third as queued behind the others would give 20 ms.
+  // With one slot assumed, the third would count as queued behind the others, at 20 ms.
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.service_ms == 0);
 }
 
 #[test]
-fn the_time_of_a_flow_without_a_request_adapts_to_callers() {
+fn the_timeout_of_a_first_request_adapts_to_callers() {
   let (mut agent, _) = with_flow(true);
   for port in 1..=40 {
     deliver(&mut agent, Purpose::Open, Packet::open(flow(port, 1), 0));
@@ -613,8 +613,8 @@
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
-  // The caller has acknowledged another answer, of this upstream's previous incarnation or
-  // elsewhere.
+  // The caller has acknowledged another answer: of this upstream before the agent restarted, or of
+  // another target.
   let sent = query(&mut agent, &[flow], 501, "a");
   assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
   let packet = Packet::data(flow, 2, 501);
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -20,13 +20,13 @@
 const PER_SECOND: usize = 12;
 
 /// How long a warm-up lasts.
-const LASTS: Duration = Duration::from_secs(4);
+const WARMUP: Duration = Duration::from_secs(4);
 
 /// The window in which the limit applies.
 const WINDOW: Duration = Duration::from_secs(1);
 
 fn configured() -> Record {
-  configured_cold(1, 1, &[(1, "a")], LASTS, PER_SECOND as u16)
+  configured_cold(1, 1, &[(1, "a")], WARMUP, PER_SECOND as u16)
 }
 
 /// An agent whose upstream warms up for `left` more.
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_cold_upstream_gets_the_whole_limit_in_each_second() {
-  let mut agent = agent(true, LASTS);
+  let mut agent = agent(true, WARMUP);
   let (opened, most) = open_flows(&mut agent, Duration::from_millis(3500));
   assert_eq!(most, PER_SECOND);
   assert_eq!(opened, 4 * PER_SECOND);
@@ -92,10 +92,10 @@
 
 #[test]
 fn a_new_incarnation_of_an_agent_opens_half_the_limit_in_its_first_second() {
-  let mut before = agent(true, LASTS);
+  let mut before = agent(true, WARMUP);
   let (opened, _) = open_flows(&mut before, Duration::from_millis(300));
   assert_eq!(opened, PER_SECOND);
-  let mut next = agent(false, LASTS);
+  let mut next = agent(false, WARMUP);
   let (opened, _) = open_flows(&mut next, Duration::from_millis(900));
   assert_eq!(opened, PER_SECOND / 2);
   // Later the whole limit applies.
@@ -117,13 +117,13 @@
 }
 
 #[test]
-fn a_second_that_begins_during_the_warm_up_is_limited_to_its_end() {
+fn a_window_that_begins_during_the_warm_up_is_limited_as_a_whole() {
   let mut agent = agent(true, Duration::from_millis(1500));
   let (opened, most) = open_flows(&mut agent, Duration::from_millis(2490));
   assert_eq!(most, PER_SECOND);
   assert_eq!(opened, 3 * PER_SECOND);
   // The same where the platform reports the end of the warm-up.
-  let mut agent = self::agent(true, LASTS);
+  let mut agent = self::agent(true, WARMUP);
   open_flows(&mut agent, Duration::from_millis(500));
   let record = warming(3, "up", 9, "a", Duration::ZERO);
   agent.platform(news(Some(2), 3, &[record]));
@@ -134,7 +134,7 @@
 #[test]
 fn an_agent_that_has_just_started_limits_flows_no_longer_than_a_warm_up() {
   let mut agent = agent(false, Duration::ZERO);
-  agent.pass(LASTS + WINDOW);
+  agent.pass(WARMUP + WINDOW);
   let (opened, _) = open_flows(&mut agent, Duration::from_millis(500));
   assert_eq!(opened, 50);
 }
@@ -173,7 +173,7 @@
 
 #[test]
 fn no_more_slots_are_granted_than_a_cold_upstream_has_room_for() {
-  let mut agent = agent(true, LASTS);
+  let mut agent = agent(true, WARMUP);
   for port in 0..PER_SECOND as u16 - 1 {
     assert!(try_open(&mut agent, 1, port));
     let back = Packet {
@@ -202,7 +202,7 @@
 
 fn balancer_with_limit() -> Balancer {
   let mut balancer = balancer();
-  let record = configured_cold(5, 2, &[(1, "a"), (2, "b")], LASTS, PER_SECOND as u16);
+  let record = configured_cold(5, 2, &[(1, "a"), (2, "b")], WARMUP, PER_SECOND as u16);
   balancer.platform(news(Some(4), 5, &[record]));
   balancer
 }
--- a/tests/datagram/failing.rs
+++ b/tests/datagram/failing.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn no_target_is_avoided_where_all_fail_as_many_requests() {
+fn no_target_is_avoided_where_all_fail_at_similar_rates() {
   let mut balancer = balancer_with_targets([40, 41, 39], [0, 3, 4]);
   assert_eq!(chosen_target(&mut balancer), 11);
 }
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -58,9 +58,9 @@
   let sent = agent.frame(BALANCER, &fan, &packet.write());
   assert_matches!(
     &sent[..],
-    [Sent::Frame(on, first, bytes), Sent::Frame(back, Frame::Absent { .. }, _)]
-      if *on == peer(8) && *first == flow_test("b") && *bytes == packet.write()
-        && *back == peer(BALANCER)
+    [Sent::Frame(other, test, bytes), Sent::Frame(asker, Frame::Absent { .. }, _)]
+      if *other == peer(8) && *test == flow_test("b") && *bytes == packet.write()
+        && *asker == peer(BALANCER)
   );
 }
 
@@ -73,7 +73,7 @@
   let sent = agent.packet(packet.returned());
   assert_matches!(
     &sent[..],
-    [Sent::Frame(back, Frame::Absent { .. }, _)] if *back == peer(BALANCER)
+    [Sent::Frame(to, Frame::Absent { .. }, _)] if *to == peer(BALANCER)
   );
 }
 
@@ -112,17 +112,17 @@
   let sent = agent.packet(reset_of(packet));
   assert_matches!(
     &sent[..],
-    [Sent::Frame(back, Frame::Absent { lost: false, .. }, _)] if *back == peer(BALANCER)
+    [Sent::Frame(to, Frame::Absent { lost: false, .. }, _)] if *to == peer(BALANCER)
   );
 }
 
 #[test]
 fn a_reset_of_an_open_flow_reaches_the_caller() {
   let mut agent = agent();
-  let held = Frame::Held {
+  let restore = Frame::Held {
     flows: vec![flow(1, 1)],
   };
-  agent.frame(BALANCER, &held, &[]);
+  agent.frame(BALANCER, &restore, &[]);
   let reset = reset_of(Packet::data(flow(1, 1), 2, 101));
   assert_eq!(agent.packet(reset), [Sent::Caller(reset)]);
 }
--- a/tests/datagram/grants.rs
+++ b/tests/datagram/grants.rs
@@ -1,5 +1,5 @@
-//! An agent reserves slots of its upstream for flows that are queued in balancers, and no more than
-//! are free.
+//! An agent reserves free slots of its upstream for flows that are queued in balancers, up to a
+//! limit.
 
 use {
   crate::{
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn free_slots_are_granted_at_once_and_no_more_than_there_are() {
+fn free_slots_are_granted_at_once_up_to_the_limit() {
   let mut agent = agent();
   let sent = agent.frame(1, &backlog(40), &[]);
   assert_eq!(granted(&sent), [peer(1); GRANTS_MAX]);
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -1,4 +1,4 @@
-//! A balancer keeps the handover of an agent that restarts gracefully, and buffers its packets
+//! A balancer keeps the handover of an agent that restarts gracefully, and buffers packets for it
 //! meanwhile.
 
 use {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn packets_for_an_agent_that_does_not_restart_are_forwarded_after_a_while() {
+fn packets_for_an_agent_that_does_not_restart_are_forwarded_after_a_timeout() {
   let mut balancer = with_stopped_agent();
   assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
   let mut sent = Vec::new();
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -1,5 +1,5 @@
-//! An upstream that restarts under the same name has lost its flows and requests, and the callers
-//! of lost flows are told at once.
+//! An upstream that restarts under the same name has lost its flows and requests, and lost flows
+//! are reset without a search.
 
 use {
   crate::{
@@ -111,10 +111,10 @@
 fn an_unconfirmed_flow_that_is_bounced_is_not_reported_lost() {
   let mut agent = agent();
   // A balancer considers the agent the flow's owner.
-  let held = Frame::Held {
+  let restore = Frame::Held {
     flows: vec![flow(1, 1)],
   };
-  agent.frame(1, &held, &[]);
+  agent.frame(1, &restore, &[]);
   let packet = Packet::data(flow(1, 1), 2, 101);
   agent.frame(1, &carry(Purpose::Deliver), &packet.write());
   let sent = agent.packet(packet.returned());
