--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -6,8 +6,8 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// In a closed data centre, an agent refuses new flows after this many times the longest delay after
-/// which balancers stop sending them, since the order may reach a balancer later.
+/// In a closed data centre, an agent refuses new flows after this many times the longest delay
+/// after which balancers stop sending them, since the order may reach a balancer later.
 const CLOSE_DELAY_FACTOR: f64 = 1.5;
 
 impl<C: Codec> Machine<C> {
