--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -68,7 +68,7 @@
     }
     log::info!(
       flows = self.flows.len(), whole = whole, balancers = balancers.len();
-      "agent: handover was sent to balancers."
+      "agent: sending the handover to balancers."
     );
     for balancer in balancers {
       handover.send(now, whole, balancer, out);
