--- a/src/flow.rs
+++ b/src/flow.rs
@@ -1,4 +1,4 @@
-//! Which flows an agent owns, which packets it passes on, and which it refuses.
+//! An agent's decision on each packet: deliver it, forward it to another target or refuse it.
 
 mod action;
 mod machine;
--- a/src/flow/action.rs
+++ b/src/flow/action.rs
@@ -3,21 +3,22 @@
   crate::{Code, routing::Hop},
 };
 
-/// What is to be done with a packet.
+/// What the agent does with a packet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-  /// Hand it to the transport: the flow is this target's.
+  /// Deliver it to the transport: this target owns the flow.
   Deliver,
-  /// Hand it to the transport, which may open the flow.
+  /// Deliver it to the transport, which may open a new flow for it.
   Open,
-  /// Send it to another target.
+  /// Forward it to another target.
   Pass(Pass),
-  /// Drop it and tell the sender.
+  /// Drop it and report the result code to the sender of the frame.
   Refuse(Code),
-  /// Hand it to the transport so that it tells the caller: the flow was an earlier run's.
+  /// Deliver it to the transport, which resets the flow towards the caller: the flow belongs to a
+  /// previous incarnation of this target's agent.
   Reset,
-  /// Send a copy to each of these targets, which take it only if the flow is theirs.
+  /// Send a copy to each of these targets; only the owner of the flow accepts it.
   Search(Vec<Hop>),
-  /// Drop it silently: a copy of a packet whose flow is not here.
+  /// Drop it without a refusal: it may not open a flow here, and this target doesn't own its flow.
   Skip,
 }
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -8,52 +8,52 @@
   std::{collections::HashMap, time::Instant},
 };
 
-/// How often a target that cannot open a flow may send it to another.
+/// How many times targets that cannot open a flow may redirect its opening packet.
 const REDIRECTS_MAX: u8 = 3;
 
-/// A target that leaves so many passed packets unanswered is no longer sent them first: it may be
-/// dead.
+/// After this many forwarded packets without a confirmation, the cached target of a flow is
+/// dropped: it may be dead.
 const UNANSWERED_MAX: u8 = 3;
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-  /// A packet came, and so many flows are open.
+  /// A caller's packet arrived.
   Carry {
     /// The frame's header.
     carry: &'a Carry,
-    /// The flows that the target holds.
+    /// How many flows are open at this target.
     flows: u32,
   },
-  /// A flow with this key ended.
+  /// The flow with this key ended.
   Closed(u64),
-  /// A packet with this key that was passed on reached its flow's target.
+  /// A target that a packet was forwarded to confirms that it owns the flow.
   Found {
-    /// The key.
+    /// The flow's key.
     key: u64,
-    /// Where its flow is.
+    /// The target that owns the flow.
     target: id::Target,
   },
-  /// The target leaves, or stays after all.
+  /// Whether this target is draining: it opens no new flows and keeps its existing ones.
   Leaving(bool),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Passed {
-  seen: Instant,
+struct Forwarded {
+  last_packet: Instant,
   to: id::Target,
-  /// Packets sent there since it last said that the flow is there.
+  /// Packets forwarded since the target last confirmed that it owns the flow.
   unanswered: u8,
 }
 
-/// Decides over the packets that reach a target. QUIC's established flows name their target and
-/// need no state here; the rest are remembered by key.
+/// Decides on every packet that reaches a target. Packets of established QUIC flows name their
+/// target and need no state here; other flows are remembered by key.
 #[derive(Debug)]
 pub struct Machine {
   incarnation: id::Incarnation,
   leaving: bool,
   owned: HashMap<u64, Instant>,
-  passed: HashMap<u64, Passed>,
+  forwarded: HashMap<u64, Forwarded>,
   searches: rate::Limit,
   service: id::Service,
   settings: Settings,
@@ -61,7 +61,7 @@
 }
 
 impl Machine {
-  /// The machine of a target's agent in this run.
+  /// A machine for one incarnation of a target's agent, without any flows.
   pub fn new(
     service: id::Service,
     target: id::Target,
@@ -72,7 +72,7 @@
       incarnation,
       leaving: false,
       owned: HashMap::new(),
-      passed: HashMap::new(),
+      forwarded: HashMap::new(),
       searches: rate::Limit::new(settings.searches_per_second),
       service,
       settings,
@@ -80,45 +80,45 @@
     }
   }
 
-  /// Forgets what was not seen for long.
+  /// Forgets flows whose last packet is older than the idle timeout.
   pub fn expire(&mut self, now: Instant) {
-    let idle = self.settings.idle;
+    let idle_timeout = self.settings.idle_timeout;
     self
       .owned
-      .retain(|_, seen| now.duration_since(*seen) < idle);
+      .retain(|_, last_packet| now.duration_since(*last_packet) < idle_timeout);
     self
-      .passed
-      .retain(|_, passed| now.duration_since(passed.seen) < idle);
+      .forwarded
+      .retain(|_, forwarded| now.duration_since(forwarded.last_packet) < idle_timeout);
   }
 
-  /// Whether the target takes no new flows.
+  /// Whether the target is draining, so that it opens no new flows.
   pub fn is_leaving(&self) -> bool {
     self.leaving
   }
 
-  /// How many keys are remembered: owned, and passed on.
+  /// The number of keys of owned flows, and of those that are forwarded.
   pub fn remembered(&self) -> (usize, usize) {
-    (self.owned.len(), self.passed.len())
+    (self.owned.len(), self.forwarded.len())
   }
 
-  /// Takes an event. Only a packet asks for something to be done.
+  /// Processes an event; none unless it is a packet.
   pub fn step(&mut self, now: Instant, table: Option<&Table>, event: Event) -> Option<Action> {
     match event {
       Event::Carry { carry, flows } => {
-        let action = self.carry(now, table, carry, flows);
-        return Some(self.check(carry, action));
+        let action = self.decide(now, table, carry, flows);
+        return Some(self.enforce_invariants(carry, action));
       }
       Event::Closed(key) => {
         self.owned.remove(&key);
       }
-      Event::Found { key, target } if target != self.target => self.remember(now, key, target),
+      Event::Found { key, target } if target != self.target => self.cache_target(now, key, target),
       Event::Found { .. } => {}
       Event::Leaving(leaving) => self.leaving = leaving,
     }
     None
   }
 
-  fn carry(&mut self, now: Instant, table: Option<&Table>, carry: &Carry, flows: u32) -> Action {
+  fn decide(&mut self, now: Instant, table: Option<&Table>, carry: &Carry, flows: u32) -> Action {
     if carry.service != self.service {
       return Action::Refuse(Code::FrameWrongService);
     }
@@ -129,29 +129,31 @@
       return Action::Refuse(Code::HopsExceeded);
     }
     match carry.flow {
-      Flow::Keyed { key, opens } => self.keyed(now, table, carry, flows, key, opens),
+      Flow::Keyed { key, opens } => self.decide_keyed(now, table, carry, flows, key, opens),
       Flow::Named {
         incarnation,
         target,
-      } => self.named(table, target, incarnation),
+      } => self.decide_named(table, target, incarnation),
     }
   }
 
-  /// Asserts what must hold of every decision; a release build refuses instead.
-  fn check(&self, carry: &Carry, action: Action) -> Action {
-    let takes = matches!(action, Action::Deliver | Action::Open | Action::Reset);
-    let own = carry.service == self.service && carry.target == self.target;
-    let may_open = !self.leaving && carry.whole;
-    let holds = (!takes || own) && (action != Action::Open || may_open);
-    debug_assert!(holds, "{action:?} of {carry:?} at target {}", self.target);
-    if holds {
+  /// Returns the action if it keeps the invariants: only packets for this target are delivered, and
+  /// only a target that isn't draining opens a flow. Otherwise panics in a debug build and refuses
+  /// the packet in a release build.
+  fn enforce_invariants(&self, carry: &Carry, action: Action) -> Action {
+    let accepts = matches!(action, Action::Deliver | Action::Open | Action::Reset);
+    let is_addressee = carry.service == self.service && carry.target == self.target;
+    let allowed = !self.leaving && carry.whole;
+    let valid = (!accepts || is_addressee) && (action != Action::Open || allowed);
+    debug_assert!(valid, "{action:?} of {carry:?} at target {}", self.target);
+    if valid {
       action
     } else {
       Action::Refuse(Code::InvariantBroken)
     }
   }
 
-  fn named(
+  fn decide_named(
     &self,
     table: Option<&Table>,
     target: id::Target,
@@ -169,7 +171,7 @@
     }
   }
 
-  fn keyed(
+  fn decide_keyed(
     &mut self,
     now: Instant,
     table: Option<&Table>,
@@ -178,8 +180,8 @@
     key: u64,
     opens: bool,
   ) -> Action {
-    if let Some(seen) = self.owned.get_mut(&key) {
-      *seen = now;
+    if let Some(last_packet) = self.owned.get_mut(&key) {
+      *last_packet = now;
       return Action::Deliver;
     }
     if !carry.whole && carry.chain.is_empty() {
@@ -188,39 +190,45 @@
     let Some(table) = table else {
       return Action::Refuse(Code::NotReady);
     };
-    if let Some(pass) = self.found_before(now, table, key, carry) {
+    if let Some(pass) = self.pass_to_cached(now, table, key, carry) {
       return Action::Pass(pass);
     }
-    if let Some(pass) = self.next(table, carry) {
+    if let Some(pass) = self.pass_along_chain(table, carry) {
       return Action::Pass(pass);
     }
     if opens {
-      return self.open(now, table, key, carry, flows);
+      return self.open_or_redirect(now, table, key, carry, flows);
     }
     self.search(now, table)
   }
 
-  /// Where the flow of this key was found before.
-  fn found_before(&mut self, now: Instant, table: &Table, key: u64, carry: &Carry) -> Option<Pass> {
-    // A packet that was passed here is not sent to where it may have come from.
+  /// Forwards to the target that confirmed the flow or that it was redirected to, if one is cached.
+  fn pass_to_cached(
+    &mut self,
+    now: Instant,
+    table: &Table,
+    key: u64,
+    carry: &Carry,
+  ) -> Option<Pass> {
+    // Another agent forwarded this packet; the cached target may be that agent.
     if carry.hops > 0 {
       return None;
     }
-    let passed = self.passed.get_mut(&key)?;
-    if passed.unanswered >= UNANSWERED_MAX {
-      self.passed.remove(&key);
+    let forwarded = self.forwarded.get_mut(&key)?;
+    if forwarded.unanswered >= UNANSWERED_MAX {
+      self.forwarded.remove(&key);
       return None;
     }
-    passed.seen = now;
-    passed.unanswered += 1;
-    let to = Hop::from(table.get(passed.to)?);
+    forwarded.last_packet = now;
+    forwarded.unanswered += 1;
+    let to = Hop::from(table.get(forwarded.to)?);
     let mut chain = carry.chain.clone();
     chain.retain(|target| *target != to.target);
     Some(Pass::along(carry, to, chain))
   }
 
-  /// The next of the chain that the table knows.
-  fn next(&self, table: &Table, carry: &Carry) -> Option<Pass> {
+  /// Forwards to the next target of the chain that is in the table.
+  fn pass_along_chain(&self, table: &Table, carry: &Carry) -> Option<Pass> {
     let mut rest = carry.chain.iter();
     let to = rest.find_map(|target| {
       if *target == self.target {
@@ -231,15 +239,23 @@
     Some(Pass::along(carry, to, rest.copied().collect()))
   }
 
-  fn open(&mut self, now: Instant, table: &Table, key: u64, carry: &Carry, flows: u32) -> Action {
+  /// Opens the flow here, or redirects it when this target is draining or full.
+  fn open_or_redirect(
+    &mut self,
+    now: Instant,
+    table: &Table,
+    key: u64,
+    carry: &Carry,
+    flows: u32,
+  ) -> Action {
     let code = if self.leaving {
       Code::TargetLeaving
     } else if !carry.whole {
       return Action::Skip;
-    } else if flows >= self.limit(table) || !self.make_room(now) {
+    } else if flows >= self.flows_max(table) || !self.has_room(now) {
       Code::TargetFull
     } else {
-      self.passed.remove(&key);
+      self.forwarded.remove(&key);
       self.owned.insert(key, now);
       return Action::Open;
     };
@@ -249,7 +265,7 @@
     let Some(to) = routing::Machine::alternative(table, key, &[self.target]) else {
       return Action::Refuse(code);
     };
-    self.remember(now, key, to.target);
+    self.cache_target(now, key, to.target);
     Action::Pass(Pass {
       redirects: carry.redirects + 1,
       whole: carry.whole,
@@ -257,12 +273,12 @@
     })
   }
 
-  fn limit(&self, table: &Table) -> u32 {
+  fn flows_max(&self, table: &Table) -> u32 {
     table.get(self.target).map_or(0, |entry| entry.connections)
   }
 
-  /// The chain did not find the flow of a packet that may not open it: all other targets get a
-  /// copy, at a bounded rate. Copies rather than a chain, which a dead target would end.
+  /// Copies a packet whose flow no target of the chain owns to all other targets, at a bounded
+  /// rate. A chain would end at the first dead target; copies don't.
   fn search(&mut self, now: Instant, table: &Table) -> Action {
     if !self.searches.take(now) {
       return Action::Refuse(Code::FlowUnknown);
@@ -274,22 +290,24 @@
     Action::Search(others.map(Hop::from).take(CHAIN_MAX).collect())
   }
 
-  fn make_room(&mut self, now: Instant) -> bool {
+  /// Whether another owned flow can be remembered; expires idle flows first when there is no room.
+  fn has_room(&mut self, now: Instant) -> bool {
     if self.owned.len() >= self.settings.remembered_max {
       self.expire(now);
     }
     self.owned.len() < self.settings.remembered_max
   }
 
-  fn remember(&mut self, now: Instant, key: u64, to: id::Target) {
-    if self.passed.len() >= self.settings.remembered_max {
+  /// Caches the target that a flow's packets are forwarded to, unless too many are cached.
+  fn cache_target(&mut self, now: Instant, key: u64, to: id::Target) {
+    if self.forwarded.len() >= self.settings.remembered_max {
       self.expire(now);
     }
-    if self.passed.len() < self.settings.remembered_max {
-      self.passed.insert(
+    if self.forwarded.len() < self.settings.remembered_max {
+      self.forwarded.insert(
         key,
-        Passed {
-          seen: now,
+        Forwarded {
+          last_packet: now,
           to,
           unanswered: 0,
         },
--- a/src/flow/pass.rs
+++ b/src/flow/pass.rs
@@ -3,21 +3,21 @@
   wire::{Carry, Chain},
 };
 
-/// How a packet is sent on.
+/// A packet's next target, with the header fields that it is forwarded with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Pass {
-  /// The targets to be asked after the next one.
+  /// The targets that it is forwarded to after `to`, in order, until one owns its flow.
   pub chain: Chain,
-  /// How often a target that could not open the flow has sent it to another.
+  /// How many times a target that could not open the flow has redirected it.
   pub redirects: u8,
   /// The next target.
   pub to: Hop,
-  /// Whether the last target may open the flow.
+  /// Whether the last target of the chain may open the flow.
   pub whole: bool,
 }
 
 impl Pass {
-  /// To one target, which may not open the flow.
+  /// Forwards to a single target, which may not open the flow.
   pub fn to(to: Hop) -> Self {
     Self {
       chain: Chain::new(),
@@ -27,7 +27,7 @@
     }
   }
 
-  /// To one target of a chain.
+  /// Forwards to `to` and then along `chain`, with the frame's permission to open the flow.
   pub(super) fn along(carry: &Carry, to: Hop, chain: Chain) -> Self {
     Self {
       chain,
--- a/src/flow/settings.rs
+++ b/src/flow/settings.rs
@@ -1,16 +1,16 @@
 use std::time::Duration;
 
-/// The bounds of the machine.
+/// The limits of a flow machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// How often a packet may be passed on.
+  /// How many times a packet may be forwarded between agents.
   pub hops_max: u8,
-  /// How long a flow without packets is remembered.
-  pub idle: Duration,
-  /// How many flows are remembered, owned and passed each.
+  /// How long a flow is remembered after its last packet.
+  pub idle_timeout: Duration,
+  /// How many flows are remembered: this many that are owned, and this many that are forwarded.
   pub remembered_max: usize,
-  /// How many packets a second may be sent around all targets when the chain did not find their
-  /// flow.
+  /// How many packets per second may be copied to all targets because no target of their chain owns
+  /// their flow.
   pub searches_per_second: u32,
 }
 
@@ -18,7 +18,7 @@
   fn default() -> Self {
     Self {
       hops_max: 48,
-      idle: Duration::from_mins(1),
+      idle_timeout: Duration::from_mins(1),
       remembered_max: 65_536,
       searches_per_second: 500,
     }
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -155,7 +155,7 @@
       id::Target(id),
       id::Incarnation(1),
       flow::Settings {
-        idle: Duration::from_hours(1000),
+        idle_timeout: Duration::from_hours(1000),
         searches_per_second: u32::MAX,
         ..flow::Settings::default()
       },
