--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which request runs now, which waits, and which is told to come back.
+//! Admission control before an upstream: which request starts, which is queued, and which is shed.
 
 mod budget;
 mod machine;
--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,36 +1,36 @@
-/// The share of first tries that may be tried again, in hundredths.
-const SHARE: u32 = 10;
+/// Tokens that a first attempt adds: a tenth of a retry.
+const ATTEMPT_TOKENS: u32 = 10;
 
-/// What one retry takes.
-const RETRY: u32 = 100;
+/// Tokens that a retry costs.
+const RETRY_TOKENS: u32 = 100;
 
-/// How much may be saved up: ten retries.
-const SAVED_MAX: u32 = 10 * RETRY;
+/// The most tokens that are saved: enough for ten retries.
+const TOKENS_MAX: u32 = 10 * RETRY_TOKENS;
 
-/// Retries as a share of first tries, so that a failing third of the targets makes no storm.
+/// Limits retries to a share of the first attempts, so that failing targets cause no retry storm.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Budget {
-  saved: u32,
+  tokens: u32,
 }
 
 impl Default for Budget {
   fn default() -> Self {
-    Self { saved: SAVED_MAX }
+    Self { tokens: TOKENS_MAX }
   }
 }
 
 impl Budget {
-  /// A first try was made.
+  /// Adds the tokens of one first attempt.
   pub fn first(&mut self) {
-    self.saved = (self.saved + SHARE).min(SAVED_MAX);
+    self.tokens = (self.tokens + ATTEMPT_TOKENS).min(TOKENS_MAX);
   }
 
-  /// Whether a retry may be made; if so it is taken from the budget.
+  /// Takes the tokens of one retry; false when too few are left, so that it must not be made.
   pub fn retry(&mut self) -> bool {
-    if self.saved < RETRY {
+    if self.tokens < RETRY_TOKENS {
       return false;
     }
-    self.saved -= RETRY;
+    self.tokens -= RETRY_TOKENS;
     true
   }
 }
--- a/src/admission/machine.rs
+++ b/src/admission/machine.rs
@@ -6,38 +6,38 @@
   },
 };
 
-/// A request's number at this target.
+/// The number of a request, unique within its machine.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
   /// A request arrived.
   Arrived {
-    /// Who sent it, by a hash.
+    /// A hash that identifies its caller.
     caller: u64,
-    /// When it is of no use any more to start it.
+    /// The deadline for starting it; it is shed from then on.
     start_by: Instant,
-    /// Its number.
+    /// The request's number.
     ticket: Ticket,
-    /// Whether it may wait; one that was handed over by a peer may not.
+    /// Whether it may be queued; false for a request that a peer handed off.
     waits: bool,
   },
-  /// A waiting or running request ended or was given up.
+  /// A queued or running request ended or was cancelled.
   Ended(Ticket),
-  /// Time passed.
+  /// Time passed; sheds queued requests whose deadline is over.
   Tick,
 }
 
-/// What is to be done with a request.
+/// What becomes of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-  /// Tell it at once that it was not run, and when to come back.
+  /// It is rejected without having been run; the duration is its retry delay.
   Shed(Ticket, Duration),
-  /// Start it.
+  /// It starts.
   Start(Ticket),
-  /// It waits.
+  /// It is queued.
   Wait(Ticket),
 }
 
@@ -54,28 +54,29 @@
   ticket: Ticket,
 }
 
-/// The slots of an upstream and the short queue before them. Among the waiting, the caller that
-/// has the fewest running goes first, then the earliest deadline.
+/// The slots of an upstream and the bounded queue before them. The next request to start is one of
+/// the caller with the fewest running requests, and among those the one with the earliest deadline.
 #[derive(Debug)]
 pub struct Machine {
-  run_time: Duration,
+  /// The moving average of the running times.
+  mean_run_time: Duration,
   running: HashMap<Ticket, Running>,
   settings: Settings,
   waiting: Vec<Waiting>,
 }
 
 impl Machine {
-  /// A machine whose slots are free.
+  /// A machine without any requests.
   pub fn new(settings: Settings) -> Self {
     Self {
-      run_time: settings.run_time,
+      mean_run_time: settings.initial_run_time,
       running: HashMap::new(),
       settings,
       waiting: Vec::new(),
     }
   }
 
-  /// How many requests run, and how many wait.
+  /// The numbers of running and of queued requests.
   pub fn size(&self) -> (usize, usize) {
     (self.running.len(), self.waiting.len())
   }
@@ -85,12 +86,12 @@
     self.waiting.is_empty() && self.running.len() < self.settings.slots
   }
 
-  /// Takes the operator's number of slots into force.
+  /// Changes the number of slots, which is at least 1. Requests that run already go on.
   pub fn set_slots(&mut self, slots: usize) {
     self.settings.slots = slots.max(1);
   }
 
-  /// Takes an event.
+  /// Processes an event, sheds queued requests whose deadline is over, and fills free slots.
   pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     match event {
@@ -105,19 +106,19 @@
           start_by,
           ticket,
         };
-        self.arrived(now, waiting, waits, &mut actions);
+        self.admit(now, waiting, waits, &mut actions);
       }
-      Event::Ended(ticket) => self.ended(now, ticket),
+      Event::Ended(ticket) => self.remove(now, ticket),
       Event::Tick => {}
     }
     self.expire(now, &mut actions);
-    self.fill(now, &mut actions);
+    self.start_waiting(now, &mut actions);
     actions
   }
 
-  fn arrived(&mut self, now: Instant, new: Waiting, waits: bool, actions: &mut Vec<Action>) {
+  fn admit(&mut self, now: Instant, new: Waiting, waits: bool, actions: &mut Vec<Action>) {
     if new.start_by <= now {
-      actions.push(Action::Shed(new.ticket, self.come_back()));
+      actions.push(Action::Shed(new.ticket, self.retry_after()));
       return;
     }
     if self.is_free() {
@@ -125,21 +126,21 @@
       return;
     }
     if !waits {
-      actions.push(Action::Shed(new.ticket, self.come_back()));
+      actions.push(Action::Shed(new.ticket, self.retry_after()));
       return;
     }
     self.waiting.push(new);
-    let shed = self.shed_one();
+    let shed = self.shed_excess();
     if shed != Some(new.ticket) {
       actions.push(Action::Wait(new.ticket));
     }
     if let Some(ticket) = shed {
-      actions.push(Action::Shed(ticket, self.come_back()));
+      actions.push(Action::Shed(ticket, self.retry_after()));
     }
   }
 
-  /// When too many wait, the caller with the most of them gives up its latest.
-  fn shed_one(&mut self) -> Option<Ticket> {
+  /// When the queue is too long, removes the newest request of the caller that has the most queued.
+  fn shed_excess(&mut self) -> Option<Ticket> {
     if self.waiting.len() <= self.settings.slots * self.settings.queue_per_slot {
       return None;
     }
@@ -147,49 +148,49 @@
     for waiting in &self.waiting {
       *counts.entry(waiting.caller).or_default() += 1;
     }
-    let place = (0..self.waiting.len()).max_by_key(|place| {
-      let waiting = self.waiting[*place];
+    let index = (0..self.waiting.len()).max_by_key(|index| {
+      let waiting = self.waiting[*index];
       (counts[&waiting.caller], waiting.ticket)
     })?;
-    Some(self.waiting.remove(place).ticket)
+    Some(self.waiting.remove(index).ticket)
   }
 
-  fn ended(&mut self, now: Instant, ticket: Ticket) {
+  fn remove(&mut self, now: Instant, ticket: Ticket) {
     if let Some(running) = self.running.remove(&ticket) {
-      let took = now.duration_since(running.since);
-      self.run_time = self.run_time.mul_f64(0.9) + took.mul_f64(0.1);
+      let run_time = now.duration_since(running.since);
+      self.mean_run_time = self.mean_run_time.mul_f64(0.9) + run_time.mul_f64(0.1);
       return;
     }
     self.waiting.retain(|waiting| waiting.ticket != ticket);
   }
 
-  /// A request whose time is over is told at once.
+  /// Sheds queued requests whose deadline for starting is over.
   fn expire(&mut self, now: Instant, actions: &mut Vec<Action>) {
-    let come_back = self.come_back();
+    let retry_after = self.retry_after();
     self.waiting.retain(|waiting| {
-      let over = waiting.start_by <= now;
-      if over {
-        actions.push(Action::Shed(waiting.ticket, come_back));
+      let expired = waiting.start_by <= now;
+      if expired {
+        actions.push(Action::Shed(waiting.ticket, retry_after));
       }
-      !over
+      !expired
     });
   }
 
-  fn fill(&mut self, now: Instant, actions: &mut Vec<Action>) {
+  fn start_waiting(&mut self, now: Instant, actions: &mut Vec<Action>) {
     while self.running.len() < self.settings.slots {
-      let mut held: HashMap<u64, usize> = HashMap::new();
+      let mut running_by_caller: HashMap<u64, usize> = HashMap::new();
       for running in self.running.values() {
-        *held.entry(running.caller).or_default() += 1;
+        *running_by_caller.entry(running.caller).or_default() += 1;
       }
-      let next = (0..self.waiting.len()).min_by_key(|place| {
-        let waiting = self.waiting[*place];
-        let held = held.get(&waiting.caller).copied().unwrap_or(0);
-        (held, waiting.start_by, waiting.ticket)
+      let next = (0..self.waiting.len()).min_by_key(|index| {
+        let waiting = self.waiting[*index];
+        let running = running_by_caller.get(&waiting.caller).copied().unwrap_or(0);
+        (running, waiting.start_by, waiting.ticket)
       });
-      let Some(place) = next else {
+      let Some(index) = next else {
         return;
       };
-      let waiting = self.waiting.remove(place);
+      let waiting = self.waiting.remove(index);
       self.start(now, waiting, actions);
     }
   }
@@ -199,15 +200,15 @@
       caller: waiting.caller,
       since: now,
     };
-    let before = self.running.insert(waiting.ticket, running);
-    debug_assert!(before.is_none(), "a request was started twice");
+    let previous = self.running.insert(waiting.ticket, running);
+    debug_assert!(previous.is_none(), "a request was started twice");
     actions.push(Action::Start(waiting.ticket));
   }
 
-  /// How long it takes until those that run and wait are through.
-  fn come_back(&self) -> Duration {
+  /// The estimated time until all requests that now run or are queued have ended.
+  fn retry_after(&self) -> Duration {
     let ahead = self.running.len() + self.waiting.len();
-    let turns = ahead.div_ceil(self.settings.slots.max(1)) as u32;
-    self.run_time * turns
+    let rounds = ahead.div_ceil(self.settings.slots.max(1)) as u32;
+    self.mean_run_time * rounds
   }
 }
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-/// The bounds of the machine.
+/// The limits of an admission machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// How many requests wait for each slot, at most.
+  /// The longest queue, in requests per slot.
   pub queue_per_slot: usize,
-  /// The first guess of how long a request runs.
-  pub run_time: Duration,
-  /// How many requests run at once.
+  /// The mean running time that is assumed before any request has ended.
+  pub initial_run_time: Duration,
+  /// How many requests run at the same time.
   pub slots: usize,
 }
 
@@ -15,7 +15,7 @@
   fn default() -> Self {
     Self {
       queue_per_slot: 2,
-      run_time: Duration::from_millis(50),
+      initial_run_time: Duration::from_millis(50),
       slots: 5,
     }
   }
