--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,4 +1,4 @@
-//! At most once: what the request of an idempotency key may do next.
+//! Runs each request with an idempotency key at most once, and replays its answer to repetitions.
 
 mod answer;
 mod machine;
--- a/src/ledger/answer.rs
+++ b/src/ledger/answer.rs
@@ -4,19 +4,19 @@
   std::sync::Arc,
 };
 
-/// A whole answer, held for the requests that ask for it again.
+/// A complete answer, cached for requests that repeat the same key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-  /// Its body.
+  /// The complete body.
   pub body: Bytes,
-  /// Its headers.
+  /// Shared, so that cloning an answer doesn't copy them.
   pub headers: Arc<HeaderMap>,
-  /// Its status.
+  /// The status that the upstream answered with.
   pub status: StatusCode,
 }
 
 impl Answer {
-  /// The memory that it takes, in bytes, near enough for a bound.
+  /// An estimate of the memory that it takes, in bytes.
   pub fn size(&self) -> usize {
     let headers = self.headers.iter();
     let headers = headers.map(|(name, value)| name.as_str().len() + value.len() + 64);
--- a/src/ledger/machine.rs
+++ b/src/ledger/machine.rs
@@ -7,38 +7,38 @@
   },
 };
 
-/// What an entry takes besides its answer, in bytes.
-const ENTRY_SIZE: usize = 160;
+/// The memory that an entry takes besides its answer, in bytes.
+const ENTRY_BYTES: usize = 160;
 
-/// What is known of a key's earlier requests elsewhere.
+/// What is known about earlier requests with a key at its previous homes: the targets that
+/// were responsible for the key within the repeat window.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Past {
-  /// Nothing ran: this ledger has been the key's home for the whole window, or those that were
-  /// its home before have handed it over.
+  /// The key was not run elsewhere: there is no previous home, or each has given the key up without
+  /// having run it.
   Clear,
-  /// An earlier home is dead, and what it knew died with it.
+  /// A previous home is dead or has restarted, so whether it ran the key is unknown.
   Lost,
-  /// An earlier home cannot be reached; it may be alive and run the key.
+  /// A previous home cannot be reached; it may be alive and still run the key.
   Unreachable,
 }
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-  /// Another process becomes the key's home and asks for what is known; from now on the key does
-  /// not run here.
+  /// Another process takes over as the key's home; the key never runs here from now on.
   Claimed(u128),
   /// The key's request has ended.
   Finished(u128, Outcome),
   /// A request arrived.
   Request {
-    /// A hash of what is asked, by which another request under the same key is told.
+    /// A hash of the request's content, which tells different requests with the same key apart.
     fingerprint: u64,
-    /// Whether the caller says that it never sent this key before.
+    /// Whether the caller states that it never sent this key before.
     first: bool,
-    /// The key, by its hash.
+    /// A hash of the idempotency key.
     key: u128,
-    /// What is known of the key elsewhere; only asked for where the key is unknown here.
+    /// What is known about the key at its previous homes; used only if it is unknown here.
     past: Past,
   },
 }
@@ -46,7 +46,7 @@
 /// How a request ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-  /// The upstream's whole answer.
+  /// The upstream returned this complete answer.
   Answered(Answer),
   /// It was certainly not run.
   NotRun(Code),
@@ -54,22 +54,23 @@
   Unknown,
 }
 
-/// What a request may do.
+/// What becomes of a request or a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-  /// Another request came under the same key before.
+  /// It is rejected: its key was used before by a request with another fingerprint.
   Conflict,
-  /// Nothing is known of the key here.
+  /// Nothing to do; for a claim: the key was not run here.
   Nothing,
-  /// The request is not run, for this reason.
+  /// It is rejected without having been run, with this result code.
   NotRun(Code),
-  /// Give this answer again.
+  /// It gets the cached answer of the same key.
   Replay(Answer),
-  /// Run it: this is the one time.
+  /// It runs. Returned again for the same key only after the request was certainly not run, or
+  /// after the repeat window.
   Run,
-  /// Say that the outcome is unknown.
+  /// It isn't run, and its caller learns that the outcome is unknown.
   Unknown,
-  /// It runs already: wait for the one answer.
+  /// A request with the same key runs already; both get its answer.
   Wait,
 }
 
@@ -84,62 +85,63 @@
 #[derive(Clone, Debug)]
 struct Entry {
   fingerprint: u64,
-  seen: Instant,
+  last_use: Instant,
   state: State,
 }
 
-/// Remembers each key for the repeat window. When its memory is full it refuses new keys rather
-/// than forget one that counts.
+/// Remembers each key for the repeat window. When the memory is full, new keys are refused; no key
+/// is evicted before its window is over.
 #[derive(Debug)]
 pub struct Machine {
   entries: HashMap<u128, Entry>,
   memory: usize,
-  /// Keys by the time that they were last seen, for expiry; may hold a key more than once.
-  order: VecDeque<(Instant, u128)>,
+  /// Keys with a time of their last use, for expiry; may contain a key more than once.
+  expiry_queue: VecDeque<(Instant, u128)>,
   ran: u64,
   settings: Settings,
 }
 
 impl Machine {
-  /// A ledger that knows no key.
+  /// An empty ledger.
   pub fn new(settings: Settings) -> Self {
     Self {
       entries: HashMap::new(),
       memory: 0,
-      order: VecDeque::new(),
+      expiry_queue: VecDeque::new(),
       ran: 0,
       settings,
     }
   }
 
-  /// How many keys are held, and the memory that they take in bytes.
+  /// The number of keys, and the memory in bytes that they take with their cached answers.
   pub fn size(&self) -> (usize, usize) {
     (self.entries.len(), self.memory)
   }
 
-  /// How many requests were run.
+  /// How many requests were allowed to run since the start.
   pub fn ran(&self) -> u64 {
     self.ran
   }
 
-  /// Whether the key is held, so that no other home needs to be asked.
+  /// Whether the key is remembered, so that its previous homes need not be queried. Expires old
+  /// keys first.
   pub fn knows(&mut self, now: Instant, key: u128) -> bool {
     self.expire(now);
     self.entries.contains_key(&key)
   }
 
-  /// Changes the window, as the operator states it.
+  /// Changes the repeat window; it applies to the keys that are remembered already, too.
   pub fn set_window(&mut self, window: std::time::Duration) {
     self.settings.window = window;
   }
 
-  /// Takes an event.
+  /// Expires old keys and processes an event.
   pub fn step(&mut self, now: Instant, event: Event) -> Action {
     self.expire(now);
     match event {
-      Event::Claimed(key) => self.claimed(now, key),
+      Event::Claimed(key) => self.give_up(now, key),
       Event::Finished(key, outcome) => {
-        self.finished(now, key, outcome);
+        self.finish(now, key, outcome);
         Action::Nothing
       }
       Event::Request {
@@ -147,17 +149,17 @@
         first,
         key,
         past,
-      } => self.request(now, key, fingerprint, first, past),
+      } => self.admit(now, key, fingerprint, first, past),
     }
   }
 
-  fn claimed(&mut self, now: Instant, key: u128) -> Action {
+  fn give_up(&mut self, now: Instant, key: u128) -> Action {
     let Some(entry) = self.entries.get_mut(&key) else {
-      // The tombstone goes in even when memory is full: a late copy must find it.
+      // The limit on memory doesn't apply: a delayed duplicate of the request must not run here.
       self.insert(now, key, 0, State::Moved);
       return Action::Nothing;
     };
-    entry.seen = now;
+    entry.last_use = now;
     match &entry.state {
       State::Done(answer) => Action::Replay(answer.clone()),
       State::Moved => Action::Nothing,
@@ -165,7 +167,7 @@
     }
   }
 
-  fn request(
+  fn admit(
     &mut self,
     now: Instant,
     key: u128,
@@ -174,7 +176,7 @@
     past: Past,
   ) -> Action {
     if let Some(entry) = self.entries.get_mut(&key) {
-      entry.seen = now;
+      entry.last_use = now;
       if !matches!(entry.state, State::Moved) && entry.fingerprint != fingerprint {
         return Action::Conflict;
       }
@@ -189,7 +191,7 @@
       (Past::Lost | Past::Unreachable, false) => return Action::Unknown,
       (Past::Unreachable, true) => return Action::NotRun(Code::RequestHomeUnreachable),
     }
-    if self.memory + ENTRY_SIZE > self.settings.memory_max {
+    if self.memory + ENTRY_BYTES > self.settings.memory_max {
       return Action::NotRun(Code::RequestLedgerFull);
     }
     self.insert(now, key, fingerprint, State::Running);
@@ -197,7 +199,7 @@
     Action::Run
   }
 
-  fn finished(&mut self, now: Instant, key: u128, outcome: Outcome) {
+  fn finish(&mut self, now: Instant, key: u128, outcome: Outcome) {
     let Some(entry) = self.entries.get_mut(&key) else {
       debug_assert!(false, "a key was forgotten while its request ran");
       return;
@@ -206,19 +208,20 @@
       matches!(entry.state, State::Running),
       "a request ended twice"
     );
-    entry.seen = now;
+    entry.last_use = now;
     match outcome {
-      Outcome::Answered(answer) => self.hold(key, answer),
+      Outcome::Answered(answer) => self.cache(key, answer),
       Outcome::NotRun(_) => {
         self.entries.remove(&key);
-        self.memory -= ENTRY_SIZE;
+        self.memory -= ENTRY_BYTES;
       }
       Outcome::Unknown => entry.state = State::Unknown,
     }
   }
 
-  /// Keeps an answer while there is room; without it the key still never runs again.
-  fn hold(&mut self, key: u128, answer: Answer) {
+  /// Caches an answer if it fits. Otherwise the key's outcome counts as unknown, and the key still
+  /// doesn't run again.
+  fn cache(&mut self, key: u128, answer: Answer) {
     let size = answer.size();
     let fits = size <= self.settings.answer_max && self.memory + size <= self.settings.memory_max;
     if let Some(entry) = self.entries.get_mut(&key) {
@@ -232,39 +235,39 @@
   }
 
   fn insert(&mut self, now: Instant, key: u128, fingerprint: u64, state: State) {
-    self.memory += ENTRY_SIZE;
-    self.order.push_back((now, key));
+    self.memory += ENTRY_BYTES;
+    self.expiry_queue.push_back((now, key));
     let entry = Entry {
       fingerprint,
-      seen: now,
+      last_use: now,
       state,
     };
-    let before = self.entries.insert(key, entry);
-    debug_assert!(before.is_none(), "a key was entered twice");
+    let previous = self.entries.insert(key, entry);
+    debug_assert!(previous.is_none(), "a key was inserted twice");
   }
 
-  /// Forgets keys whose window is over; one that still runs stays.
+  /// Removes keys whose window is over, except those whose request still runs.
   fn expire(&mut self, now: Instant) {
-    while let Some((at, key)) = self.order.front().copied() {
+    while let Some((at, key)) = self.expiry_queue.front().copied() {
       if now.duration_since(at) < self.settings.window {
         return;
       }
-      self.order.pop_front();
+      self.expiry_queue.pop_front();
       let Some(entry) = self.entries.get(&key) else {
         continue;
       };
       let running = matches!(entry.state, State::Running);
-      if running || now.duration_since(entry.seen) < self.settings.window {
-        let again = if running { now } else { entry.seen };
-        self.order.push_back((again, key));
+      if running || now.duration_since(entry.last_use) < self.settings.window {
+        let last_use = if running { now } else { entry.last_use };
+        self.expiry_queue.push_back((last_use, key));
         continue;
       }
       if let Some(Entry { state, .. }) = self.entries.remove(&key) {
-        let answer = match state {
+        let answer_bytes = match state {
           State::Done(answer) => answer.size(),
           _ => 0,
         };
-        self.memory -= ENTRY_SIZE + answer;
+        self.memory -= ENTRY_BYTES + answer_bytes;
       }
     }
   }
--- a/src/ledger/settings.rs
+++ b/src/ledger/settings.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-/// The bounds of the machine.
+/// The limits of a ledger.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// The largest answer that is held, in bytes.
+  /// The largest answer that is cached, in bytes.
   pub answer_max: usize,
-  /// The most memory that all entries take, in bytes.
+  /// The memory that all entries together may take, in bytes.
   pub memory_max: usize,
-  /// How long a key counts after its last request.
+  /// The repeat window: how long a key is remembered after its last request.
   pub window: Duration,
 }
 
