--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which targets serve, from a list that lags, from what their traffic shows, and from probes.
+//! The health of each target, from the configuration, from its traffic and from probes.
 
 mod machine;
 
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -7,32 +7,33 @@
   },
 };
 
-/// The bounds of the machine.
+/// The timing of the failure detector.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// How long a target's own word that it leaves counts.
-  pub leaving_kept: Duration,
-  /// How many probes may be sent in a second.
+  /// How long a target counts as draining after it refused a frame because it is draining.
+  pub leaving_ttl: Duration,
+  /// The rate limit of probes over all targets, per second.
   pub probes_per_second: u32,
-  /// The time between two probes of a target.
+  /// The time between two probes of a target that isn't silent yet.
   pub probe_interval: Duration,
-  /// A target that packets went to and that was not heard of for so long is probed.
-  pub quiet: Duration,
-  /// How many probes in a row stay unanswered before a target counts as silent.
-  pub silent_after: u32,
-  /// A pause of this process of more than this makes it forget unanswered probes.
-  pub slept: Duration,
+  /// A target that packets are sent to is probed when no frame from it arrived for this long.
+  pub probe_after: Duration,
+  /// The number of consecutive unanswered probes that a target may have without counting as silent.
+  pub unanswered_max: u32,
+  /// If the time between two ticks is longer, this process was paused, and unanswered probes prove
+  /// nothing.
+  pub stall: Duration,
 }
 
 impl Default for Settings {
   fn default() -> Self {
     Self {
-      leaving_kept: Duration::from_secs(30),
+      leaving_ttl: Duration::from_secs(30),
       probes_per_second: 20,
       probe_interval: Duration::from_millis(250),
-      quiet: Duration::from_millis(500),
-      silent_after: 3,
-      slept: Duration::from_secs(1),
+      probe_after: Duration::from_millis(500),
+      unanswered_max: 3,
+      stall: Duration::from_secs(1),
     }
   }
 }
@@ -40,33 +41,34 @@
 /// A target of a service.
 pub type Member = (id::Service, id::Target);
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-  /// A frame of the target arrived.
+  /// A frame from the target arrived.
   Heard(Member),
-  /// The configuration names these targets; `true` where it says that they leave.
+  /// All targets of the configuration, with the addresses of their agents; `true` for those that
+  /// are draining. Other targets are forgotten.
   Listed(Vec<(Member, SocketAddr, bool)>),
-  /// The target refused a frame.
+  /// The target refused a frame, with this result code.
   Refused(Member, Code),
   /// A caller's packet was sent to the target.
   Sent(Member),
-  /// Time passed.
+  /// Time passed; probes that are due are sent.
   Tick,
 }
 
-/// What is to be done.
+/// What the caller of the machine has to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-  /// A target's standing changed: tables are to be built anew.
+  /// Rebuild the routing tables: the health of the target changed.
   Changed(Member, Standing),
-  /// Ask the target whether it serves.
+  /// Send a liveness probe to the target.
   Probe {
-    /// Where it is.
+    /// The address of the target's agent.
     address: SocketAddr,
-    /// Who is asked.
+    /// The target that is probed.
     member: Member,
-    /// The probe's number.
+    /// The probe's number, one more than that of the last probe to any target.
     nonce: u32,
   },
 }
@@ -74,53 +76,55 @@
 #[derive(Clone, Copy, Debug)]
 struct State {
   address: SocketAddr,
-  heard: Option<Instant>,
-  leaving_listed: bool,
-  leaving_said: Option<Instant>,
-  probed: Option<Instant>,
-  sent: Option<Instant>,
+  last_heard: Option<Instant>,
+  /// Whether the configuration says that it is draining.
+  leaving_configured: bool,
+  /// When the target itself last reported that it is draining.
+  leaving_reported: Option<Instant>,
+  last_probe: Option<Instant>,
+  last_sent: Option<Instant>,
   standing: Standing,
   unanswered: u32,
 }
 
-/// Weighs what the list says, what targets show and what probes find. The list is believed that a
-/// target leaves; that it is live is believed only until it is silent; what the target itself
-/// says goes before both.
+/// Infers the health of each target. One that leaves too many probes unanswered is silent, whatever
+/// the configuration says. One that answers is draining if the configuration or the target itself
+/// says so, and live otherwise.
 #[derive(Debug)]
 pub struct Machine {
-  /// Members that packets went to lately or that are not live: only these are looked at.
+  /// Targets that were sent packets recently or that are not live; a tick skips all others.
   active: BTreeSet<Member>,
   members: HashMap<Member, State>,
   nonce: u32,
-  probes: rate::Limit,
+  probe_limit: rate::Limit,
   settings: Settings,
-  ticked: Option<Instant>,
+  last_tick: Option<Instant>,
 }
 
 impl Machine {
-  /// A machine that knows nobody.
+  /// A machine without any targets.
   pub fn new(settings: Settings) -> Self {
     Self {
       active: BTreeSet::new(),
       members: HashMap::new(),
       nonce: 0,
-      probes: rate::Limit::new(settings.probes_per_second),
+      probe_limit: rate::Limit::new(settings.probes_per_second),
       settings,
-      ticked: None,
+      last_tick: None,
     }
   }
 
-  /// How many targets are known.
+  /// The number of targets of the configuration.
   pub fn len(&self) -> usize {
     self.members.len()
   }
 
-  /// Whether no target is known.
+  /// Whether the configuration has no targets.
   pub fn is_empty(&self) -> bool {
     self.members.is_empty()
   }
 
-  /// What is believed of a target.
+  /// The health of a target; live if it isn't in the configuration.
   pub fn standing(&self, member: Member) -> Standing {
     self
       .members
@@ -128,7 +132,7 @@
       .map_or(Standing::Live, |state| state.standing)
   }
 
-  /// Every target that is not live.
+  /// Every target that is not live, sorted by service and target.
   pub fn avoided(&self) -> Vec<(Member, Standing)> {
     let mut avoided = self
       .members
@@ -140,53 +144,58 @@
     avoided
   }
 
-  /// Takes an event.
+  /// Processes an event.
   pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
     match event {
-      Event::Heard(member) => self.touch(now, member, |state| {
-        state.heard = Some(now);
+      Event::Heard(member) => self.update(now, member, |state| {
+        state.last_heard = Some(now);
         state.unanswered = 0;
       }),
-      Event::Listed(members) => self.list(now, members),
-      Event::Refused(member, code) => self.touch(now, member, |state| {
-        state.heard = Some(now);
+      Event::Listed(members) => self.replace_members(now, members),
+      Event::Refused(member, code) => self.update(now, member, |state| {
+        state.last_heard = Some(now);
         state.unanswered = 0;
         if code == Code::TargetLeaving {
-          state.leaving_said = Some(now);
+          state.leaving_reported = Some(now);
         }
       }),
-      Event::Sent(member) => self.touch(now, member, |state| state.sent = Some(now)),
+      Event::Sent(member) => self.update(now, member, |state| state.last_sent = Some(now)),
       Event::Tick => self.tick(now),
     }
   }
 
-  fn touch(&mut self, now: Instant, member: Member, change: impl Fn(&mut State)) -> Vec<Action> {
+  /// Changes the state of a target and reports the change of its health, if there is one.
+  fn update(&mut self, now: Instant, member: Member, change: impl Fn(&mut State)) -> Vec<Action> {
     let settings = self.settings;
     let Some(state) = self.members.get_mut(&member) else {
       return Vec::new();
     };
     change(state);
-    let action = judge(now, &settings, member, state);
+    let action = update_health(now, &settings, member, state);
     if is_active(now, &settings, state) {
       self.active.insert(member);
     }
     action.into_iter().collect()
   }
 
-  fn list(&mut self, now: Instant, members: Vec<(Member, SocketAddr, bool)>) -> Vec<Action> {
-    let mut before = std::mem::take(&mut self.members);
+  fn replace_members(
+    &mut self,
+    now: Instant,
+    members: Vec<(Member, SocketAddr, bool)>,
+  ) -> Vec<Action> {
+    let mut previous = std::mem::take(&mut self.members);
     let mut actions = Vec::new();
     for (member, address, leaving) in members {
       if self.members.contains_key(&member) {
         continue;
       }
-      let mut state = match before.remove(&member) {
-        // A target at another address is another instance: nothing known of the former counts.
+      let mut state = match previous.remove(&member) {
+        // Another address means another instance, which has no history yet.
         Some(state) if state.address == address => state,
         _ => State::new(address),
       };
-      state.leaving_listed = leaving;
-      actions.extend(judge(now, &self.settings, member, &mut state));
+      state.leaving_configured = leaving;
+      actions.extend(update_health(now, &self.settings, member, &mut state));
       if is_active(now, &self.settings, &state) {
         self.active.insert(member);
       }
@@ -196,10 +205,10 @@
   }
 
   fn tick(&mut self, now: Instant) -> Vec<Action> {
-    let slept = self
-      .ticked
-      .is_some_and(|ticked| now.duration_since(ticked) > self.settings.slept);
-    self.ticked = Some(now);
+    let stalled = self
+      .last_tick
+      .is_some_and(|last_tick| now.duration_since(last_tick) > self.settings.stall);
+    self.last_tick = Some(now);
     let mut actions = Vec::new();
     let (members, settings) = (&self.members, self.settings);
     self.active.retain(|member| {
@@ -207,31 +216,32 @@
       state.is_some_and(|state| is_active(now, &settings, state))
     });
     for member in self.active.clone() {
-      if slept {
-        self.forget_probes(member);
+      if stalled {
+        self.reset_probes(member);
       }
       actions.extend(self.probe(now, member));
-      actions.extend(self.touch(now, member, |_| {}));
+      actions.extend(self.update(now, member, |_| {}));
     }
     actions
   }
 
-  fn forget_probes(&mut self, member: Member) {
+  fn reset_probes(&mut self, member: Member) {
     if let Some(state) = self.members.get_mut(&member) {
       state.unanswered = 0;
-      state.probed = None;
+      state.last_probe = None;
     }
   }
 
+  /// Probes a target if that is due and the rate limit allows it.
   fn probe(&mut self, now: Instant, member: Member) -> Option<Action> {
     let settings = self.settings;
     let state = self.members.get(&member)?;
-    if !wants_probe(now, &settings, state) || !self.probes.take(now) {
+    if !is_probe_due(now, &settings, state) || !self.probe_limit.take(now) {
       return None;
     }
     self.nonce = self.nonce.wrapping_add(1);
     let state = self.members.get_mut(&member)?;
-    state.probed = Some(now);
+    state.last_probe = Some(now);
     state.unanswered = state.unanswered.saturating_add(1);
     Some(Action::Probe {
       address: state.address,
@@ -245,26 +255,31 @@
   fn new(address: SocketAddr) -> Self {
     Self {
       address,
-      heard: None,
-      leaving_listed: false,
-      leaving_said: None,
-      probed: None,
-      sent: None,
+      last_heard: None,
+      leaving_configured: false,
+      leaving_reported: None,
+      last_probe: None,
+      last_sent: None,
       standing: Standing::Live,
       unanswered: 0,
     }
   }
 }
 
-/// Settles a target's standing anew and reports a change.
-fn judge(now: Instant, settings: &Settings, member: Member, state: &mut State) -> Option<Action> {
-  let said = state
-    .leaving_said
-    .is_some_and(|said| now.duration_since(said) < settings.leaving_kept);
-  let silent = state.unanswered > settings.silent_after;
+/// Infers a target's health from its state and reports a change.
+fn update_health(
+  now: Instant,
+  settings: &Settings,
+  member: Member,
+  state: &mut State,
+) -> Option<Action> {
+  let leaving_reported = state
+    .leaving_reported
+    .is_some_and(|reported| now.duration_since(reported) < settings.leaving_ttl);
+  let silent = state.unanswered > settings.unanswered_max;
   let standing = if silent {
     Standing::Silent
-  } else if state.leaving_listed || said {
+  } else if state.leaving_configured || leaving_reported {
     Standing::Leaving
   } else {
     Standing::Live
@@ -276,31 +291,32 @@
   Some(Action::Changed(member, standing))
 }
 
-/// Whether a member has to be looked at as time passes.
+/// Whether a tick has to process a target: it was sent a packet recently, or isn't live.
 fn is_active(now: Instant, settings: &Settings, state: &State) -> bool {
   let sent = state
-    .sent
-    .is_some_and(|sent| now.duration_since(sent) < settings.quiet * 4);
+    .last_sent
+    .is_some_and(|last_sent| now.duration_since(last_sent) < settings.probe_after * 4);
   sent || state.standing != Standing::Live
 }
 
-/// Whether packets went to a target without a sign of it, or it is silent already.
-fn wants_probe(now: Instant, settings: &Settings, state: &State) -> bool {
-  let since = |instant: Option<Instant>| instant.map(|instant| now.duration_since(instant));
-  if let Some(probed) = since(state.probed) {
-    // A silent target is asked ever more rarely, at most 16 times as rarely.
+/// Whether a target is to be probed: it is silent, or packets are sent to it and no frame arrives
+/// from it.
+fn is_probe_due(now: Instant, settings: &Settings, state: &State) -> bool {
+  let age = |instant: Option<Instant>| instant.map(|instant| now.duration_since(instant));
+  if let Some(probe_age) = age(state.last_probe) {
+    // Exponential back-off for a silent target, up to 16 times the interval.
     let doublings = state
       .unanswered
-      .saturating_sub(settings.silent_after)
+      .saturating_sub(settings.unanswered_max)
       .min(4);
-    if probed < settings.probe_interval * (1 << doublings) {
+    if probe_age < settings.probe_interval * (1 << doublings) {
       return false;
     }
   }
   if state.standing == Standing::Silent {
     return true;
   }
-  let quiet = since(state.heard).is_none_or(|heard| heard >= settings.quiet);
-  let sent = since(state.sent).is_some_and(|sent| sent < settings.quiet * 4);
+  let quiet = age(state.last_heard).is_none_or(|age| age >= settings.probe_after);
+  let sent = age(state.last_sent).is_some_and(|age| age < settings.probe_after * 4);
   quiet && sent
 }
