--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which target a packet goes to, and which balancer an answer leaves by.
+//! Chooses the targets of a packet, and the balancer that sends an answer to its caller.
 
 mod machine;
 mod path;
--- a/src/routing/machine.rs
+++ b/src/routing/machine.rs
@@ -9,21 +9,21 @@
   std::net::SocketAddr,
 };
 
-/// How many candidates each set of targets has for a key.
-const CANDIDATES: usize = 2;
+/// The number of candidates for a key in each set of targets.
+const CANDIDATES_PER_SET: usize = 2;
 
-/// How busy targets said they are, in 1/255 of what they may hold; 0 where nothing is known.
+/// The loads that targets reported.
 pub trait Loads {
-  /// The last word of a target.
+  /// The last load that a target reported, from 0 (idle or unknown) to 255 (full).
   fn load(&self, service: id::Service, target: id::Target) -> u8;
 }
 
-/// One destination of a packet.
+/// The next destination of a packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Hop {
-  /// Where it goes.
+  /// The address of the target's agent.
   pub address: SocketAddr,
-  /// Who it is for.
+  /// The target whose agent decides on the packet.
   pub target: id::Target,
 }
 
@@ -36,42 +36,45 @@
   }
 }
 
-/// What becomes of a packet.
+/// Where a balancer sends a packet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route {
-  /// To `first`, which hands it along `chain` until somebody has the flow; the last may open it.
-  /// Each of `copies` gets a copy that it takes only if the flow is its own already.
+  /// To `first`, from which it is forwarded along `chain` until a target owns the flow; the last
+  /// target may open it. Each of `copies` is sent a copy, which only the owner of the flow accepts.
   Chain {
-    /// The targets after the first.
+    /// The targets after the first, in order.
     chain: Chain,
-    /// Silent targets, which might have the flow but must not hold up the chain.
+    /// Silent targets, which may own the flow; in the chain, a dead one would end it.
     copies: Vec<Hop>,
     /// The first target.
     first: Hop,
-    /// Whether those that get a copy may look for the flow elsewhere, since all are silent.
+    /// Whether the targets of `copies` may search for the flow at others; set when all targets are
+    /// silent.
     search: bool,
   },
   /// To the target that the packet names.
   Named(Hop),
-  /// To a target that may know the one that the packet names, since this process does not.
+  /// To a live target, which forwards it to the named target if it knows that one: this process
+  /// doesn't.
   Relay(Hop),
 }
 
-/// Decides where packets go. It keeps nothing between two packets.
+/// Routes packets by a table, without any state of its own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Machine;
 
 impl Machine {
-  /// The route of one packet of the table's service.
+  /// Routes a packet of the table's service. Fails with [`Code::PacketUnroutable`] if there is no
+  /// target that it can be sent to.
   pub fn step(table: &Table, flow: Flow, loads: &impl Loads) -> Result<Route, Code> {
     match flow {
-      Flow::Keyed { key, opens } => Self::chain(table, key, opens, loads),
-      Flow::Named { target, .. } => Self::named(table, target),
+      Flow::Keyed { key, opens } => Self::route_keyed(table, key, opens, loads),
+      Flow::Named { target, .. } => Self::route_named(table, target),
     }
   }
 
-  /// The live target that a flow which somebody else may not take goes to: the key's first among
-  /// those that are not in `except`.
+  /// The first candidate of a key among the live targets that are not in `except`: where a flow is
+  /// redirected that other targets can't open.
   pub fn alternative(table: &Table, key: u64, except: &[id::Target]) -> Option<Hop> {
     table
       .current()
@@ -80,7 +83,7 @@
       .map(Hop::from)
   }
 
-  fn named(table: &Table, target: id::Target) -> Result<Route, Code> {
+  fn route_named(table: &Table, target: id::Target) -> Result<Route, Code> {
     if let Some(entry) = table.get(target) {
       return Ok(Route::Named(Hop::from(entry)));
     }
@@ -89,74 +92,75 @@
       .ok_or(Code::PacketUnroutable)
   }
 
-  fn chain(table: &Table, key: u64, opens: bool, loads: &impl Loads) -> Result<Route, Code> {
+  fn route_keyed(table: &Table, key: u64, opens: bool, loads: &impl Loads) -> Result<Route, Code> {
     let scores = Scores::new(table, key);
     let current = &table.sets(true)[0];
-    let open = scores.best(table, current, |entry| entry.standing == Standing::Live);
-    let mut last = Self::preferred(table, &open, loads);
+    let live = scores.candidates(table, current, |entry| entry.standing == Standing::Live);
+    let mut last = Self::least_loaded(table, &live, loads);
     if last.is_none() && opens {
-      // Nobody is known to live: the fault may be on this side, and one must be tried.
+      // No target is live. The silent ones may be cut off only from this process: try the best.
       let silent = |entry: &Entry| entry.standing == Standing::Silent;
-      last = scores.best(table, current, silent).first().copied();
+      last = scores.candidates(table, current, silent).first().copied();
     }
-    let mut asked = Places::new();
-    let mut copies = Places::new();
+    let mut chain = Indices::new();
+    let mut copies = Indices::new();
     let sets = table.sets(opens).iter();
-    let candidates = sets.flat_map(|set| scores.best(table, set, |_| true));
-    for index in candidates.chain(open) {
+    let candidates = sets.flat_map(|set| scores.candidates(table, set, |_| true));
+    for index in candidates.chain(live) {
       if Some(index) != last {
-        Self::ask(table, index, &mut asked, &mut copies);
+        Self::add_candidate(table, index, &mut chain, &mut copies);
       }
     }
-    asked.truncate(CHAIN_MAX - 1);
-    asked.reverse();
-    asked.extend(last);
+    chain.truncate(CHAIN_MAX - 1);
+    chain.reverse();
+    chain.extend(last);
     let mut search = false;
-    if asked.is_empty() {
-      // All candidates are silent: another target may know where the flow is, and if all targets
-      // are silent, each is asked.
-      asked.extend(scores.any(table));
-      search = asked.is_empty();
+    if chain.is_empty() {
+      // All candidates are silent. Any other target may have cached the owner of the flow; if all
+      // targets are silent, each is sent the packet.
+      chain.extend(scores.best_responsive(table));
+      search = chain.is_empty();
       if search {
         copies = (0..table.entries().len() as u16).take(CHAIN_MAX).collect();
-        asked.extend(copies.pop());
+        chain.extend(copies.pop());
       }
     }
-    let mut asked = asked.iter().map(|index| Hop::from(table.entry(*index)));
-    let first = asked.next().ok_or(Code::PacketUnroutable)?;
+    let mut chain = chain.iter().map(|index| Hop::from(table.entry(*index)));
+    let first = chain.next().ok_or(Code::PacketUnroutable)?;
     let copies = copies.iter().map(|index| Hop::from(table.entry(*index)));
     Ok(Route::Chain {
-      chain: asked.map(|hop| hop.target).collect(),
+      chain: chain.map(|hop| hop.target).collect(),
       copies: copies.collect(),
       first,
       search,
     })
   }
 
-  /// Puts a candidate in its place: silent ones are told aside, since a dead one ends a chain.
-  fn ask(table: &Table, index: u16, asked: &mut Places, copies: &mut Places) {
+  /// Adds a candidate to `copies` if it is silent, since a dead target would end the chain, and to
+  /// `chain` otherwise.
+  fn add_candidate(table: &Table, index: u16, chain: &mut Indices, copies: &mut Indices) {
     let silent = table.entry(index).standing == Standing::Silent;
-    let place = if silent { copies } else { asked };
-    if !place.contains(&index) {
-      place.push(index);
+    let list = if silent { copies } else { chain };
+    if !list.contains(&index) {
+      list.push(index);
     }
   }
 
-  fn preferred(table: &Table, open: &[u16], loads: &impl Loads) -> Option<u16> {
-    open
+  fn least_loaded(table: &Table, candidates: &[u16], loads: &impl Loads) -> Option<u16> {
+    candidates
       .iter()
       .copied()
       .min_by_key(|index| loads.load(table.service(), table.entry(*index).id))
   }
 }
 
-/// Indices of a table's entries; a set of common size takes no memory of the heap.
-type Places = SmallVec<[u16; 32]>;
+/// Indices of a table's entries; up to 32 of them need no heap allocation.
+type Indices = SmallVec<[u16; 32]>;
 
-/// The best candidates of a set, the first one first.
-type Best = ArrayVec<u16, CANDIDATES>;
+/// The targets of a set with the highest scores, as indices of the table's entries, best first.
+type Candidates = ArrayVec<u16, CANDIDATES_PER_SET>;
 
-/// The scores of all of a table's targets for one key.
+/// The scores of a table's entries for one key, in the order of the entries.
 struct Scores(SmallVec<[u64; 32]>);
 
 impl Scores {
@@ -170,8 +174,8 @@
     )
   }
 
-  /// The best of all targets that are not silent.
-  fn any(&self, table: &Table) -> Option<u16> {
+  /// The target with the highest score among all that are not silent.
+  fn best_responsive(&self, table: &Table) -> Option<u16> {
     let entries = table.entries().iter().zip(0..);
     entries
       .filter(|(entry, _)| entry.standing != Standing::Silent)
@@ -179,21 +183,21 @@
       .max_by_key(|index: &u16| self.0[usize::from(*index)])
   }
 
-  /// The best candidates of a set, the first one first.
-  fn best(&self, table: &Table, set: &[u16], fits: impl Fn(&Entry) -> bool) -> Best {
-    let mut best = Best::new();
+  /// The candidates among those targets of a set that `filter` accepts.
+  fn candidates(&self, table: &Table, set: &[u16], filter: impl Fn(&Entry) -> bool) -> Candidates {
+    let mut best = Candidates::new();
     for index in set {
-      if !fits(table.entry(*index)) {
+      if !filter(table.entry(*index)) {
         continue;
       }
       let score = self.0[usize::from(*index)];
-      let place = best
+      let position = best
         .iter()
         .position(|other| self.0[usize::from(*other)] < score)
         .unwrap_or(best.len());
-      if place < CANDIDATES {
-        best.truncate(CANDIDATES - 1);
-        best.insert(place, *index);
+      if position < CANDIDATES_PER_SET {
+        best.truncate(CANDIDATES_PER_SET - 1);
+        best.insert(position, *index);
       }
     }
     best
--- a/src/routing/path.rs
+++ b/src/routing/path.rs
@@ -7,36 +7,41 @@
   },
 };
 
-/// A balancer that was not heard of for so long is passed over.
-const HEARD_WITHIN: Duration = Duration::from_millis(2500);
+/// A balancer that no frame came from for this long is considered unresponsive.
+const BALANCER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A listed balancer that was not heard of for so long is probed, once in that time.
-const PROBE: Duration = Duration::from_secs(1);
+/// A balancer of the configuration that no frame came from for this long is probed, at most once in
+/// this time.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a caller is remembered after its last packet.
-const CALLER_KEPT: Duration = Duration::from_mins(2);
+/// How long a caller, or a balancer that the configuration doesn't name, is remembered after its
+/// last packet.
+const CALLER_TTL: Duration = Duration::from_mins(2);
 
 /// How many callers are remembered.
 const CALLERS_MAX: usize = 100_000;
 
-/// Chooses the balancer that an answer leaves by: the one that the caller's last packet came
-/// through while it is heard of, else any that is. Never waits on a single one.
+/// Chooses the balancer that sends an answer to its caller: the one that forwarded the caller's
+/// last packet, or any other one if that is unresponsive.
 #[derive(Debug, Default)]
 pub struct Path {
   balancers: HashMap<SocketAddr, Balancer>,
+  /// The balancer of each caller's last packet, and when that packet arrived.
   callers: HashMap<SocketAddr, (SocketAddr, Instant)>,
 }
 
 #[derive(Debug)]
 struct Balancer {
-  heard: Instant,
+  last_heard: Instant,
+  /// Whether the configuration names it.
   listed: bool,
-  probed: Option<Instant>,
+  last_probe: Option<Instant>,
 }
 
 impl Path {
-  /// A caller's packet came through a balancer. One that another agent passed on is no sign that
-  /// the balancer can be reached from here.
+  /// Records the balancer of a caller's packet. The balancer counts as responsive only if it sent
+  /// the packet to this agent directly: one whose packet another agent forwarded may be unreachable
+  /// from here.
   pub fn carried(&mut self, now: Instant, caller: SocketAddr, balancer: SocketAddr, direct: bool) {
     if direct {
       self.heard(now, balancer);
@@ -46,90 +51,92 @@
     }
   }
 
-  /// The balancer for an answer to `caller`.
+  /// The balancer for an answer to `caller`; none if no balancer is known.
   pub fn choose(&self, now: Instant, caller: SocketAddr, rng: &mut SmallRng) -> Option<SocketAddr> {
     if let Some((balancer, _)) = self.callers.get(&caller)
-      && self.is_fresh(now, *balancer)
+      && self.is_responsive(now, *balancer)
     {
       return Some(*balancer);
     }
-    let fresh = self
+    let responsive = self
       .balancers
       .iter()
-      .filter(|(_, state)| now.duration_since(state.heard) < HEARD_WITHIN)
+      .filter(|(_, state)| now.duration_since(state.last_heard) < BALANCER_TIMEOUT)
       .map(|(address, _)| *address)
       .collect::<Vec<_>>();
-    if fresh.is_empty() {
+    if responsive.is_empty() {
       return self.any(rng);
     }
-    Some(fresh[rng.random_range(0..fresh.len())])
+    Some(responsive[rng.random_range(0..responsive.len())])
   }
 
-  /// A frame came from a balancer.
+  /// Records a frame from a balancer as a sign of life.
   pub fn heard(&mut self, now: Instant, balancer: SocketAddr) {
     self
       .balancers
       .entry(balancer)
-      .and_modify(|state| state.heard = now)
+      .and_modify(|state| state.last_heard = now)
       .or_insert(Balancer {
-        heard: now,
+        last_heard: now,
         listed: false,
-        probed: None,
+        last_probe: None,
       });
   }
 
-  /// The configuration names these balancers; the others stay while they are heard of.
+  /// Sets the balancers that the configuration names; others are kept until they expire.
   pub fn list(&mut self, now: Instant, balancers: &[SocketAddr]) {
     for (address, state) in &mut self.balancers {
       state.listed = balancers.contains(address);
     }
-    let long_ago = now.checked_sub(HEARD_WITHIN).unwrap_or(now);
+    let timed_out = now.checked_sub(BALANCER_TIMEOUT).unwrap_or(now);
     for address in balancers {
       self.balancers.entry(*address).or_insert(Balancer {
-        heard: long_ago,
+        last_heard: timed_out,
         listed: true,
-        probed: None,
+        last_probe: None,
       });
     }
     self.expire(now);
   }
 
-  /// The listed balancers that are to be probed now: not heard of and not probed for a while.
+  /// The balancers that are to be probed now; each counts as probed by this call.
   pub fn quiet(&mut self, now: Instant) -> Vec<SocketAddr> {
     let mut quiet = Vec::new();
     for (address, state) in &mut self.balancers {
-      let heard = now.duration_since(state.heard) < PROBE;
+      let heard = now.duration_since(state.last_heard) < PROBE_INTERVAL;
       let probed = state
-        .probed
-        .is_some_and(|probed| now.duration_since(probed) < PROBE);
+        .last_probe
+        .is_some_and(|last_probe| now.duration_since(last_probe) < PROBE_INTERVAL);
       if state.listed && !heard && !probed {
-        state.probed = Some(now);
+        state.last_probe = Some(now);
         quiet.push(*address);
       }
     }
     quiet
   }
 
-  /// How many callers and balancers are remembered.
+  /// The numbers of callers and of balancers that are remembered.
   pub fn len(&self) -> (usize, usize) {
     (self.callers.len(), self.balancers.len())
   }
 
-  /// Whether nothing is remembered.
+  /// Whether no caller and no balancer is remembered.
   pub fn is_empty(&self) -> bool {
     self.len() == (0, 0)
   }
 
-  /// Forgets callers and unlisted balancers that were not heard of for long.
+  /// Forgets callers without recent packets, and balancers without recent frames that the
+  /// configuration doesn't name.
   pub fn expire(&mut self, now: Instant) {
     self
       .callers
-      .retain(|_, (_, heard)| now.duration_since(*heard) < CALLER_KEPT);
+      .retain(|_, (_, last_packet)| now.duration_since(*last_packet) < CALLER_TTL);
     self
       .balancers
-      .retain(|_, state| state.listed || now.duration_since(state.heard) < CALLER_KEPT);
+      .retain(|_, state| state.listed || now.duration_since(state.last_heard) < CALLER_TTL);
   }
 
+  /// A random balancer, responsive or not.
   fn any(&self, rng: &mut SmallRng) -> Option<SocketAddr> {
     let all = self.balancers.keys().copied().collect::<Vec<_>>();
     if all.is_empty() {
@@ -138,10 +145,10 @@
     Some(all[rng.random_range(0..all.len())])
   }
 
-  fn is_fresh(&self, now: Instant, balancer: SocketAddr) -> bool {
+  fn is_responsive(&self, now: Instant, balancer: SocketAddr) -> bool {
     self
       .balancers
       .get(&balancer)
-      .is_some_and(|state| now.duration_since(state.heard) < HEARD_WITHIN)
+      .is_some_and(|state| now.duration_since(state.last_heard) < BALANCER_TIMEOUT)
   }
 }
--- a/src/routing/standing.rs
+++ b/src/routing/standing.rs
@@ -1,15 +1,15 @@
 use serde::{Deserialize, Serialize};
 
-/// What a balancer believes of a target when it places a new flow. Established flows go to their
-/// target whatever is believed of it.
+/// The health of a target, by which new flows are placed. Packets of established flows are sent to
+/// their target whatever its health is.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-  /// It goes soon and takes nothing new.
+  /// It is draining: it keeps its flows and opens no new ones.
   Leaving,
-  /// It serves.
+  /// It is available for new flows.
   #[default]
   Live,
-  /// It does not answer; perhaps it is dead, perhaps it cannot be reached.
+  /// It is unresponsive: it is dead or cannot be reached from here.
   Silent,
 }
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -7,41 +7,41 @@
   },
 };
 
-/// A target as routing sees it.
+/// A target of a routing table.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-  /// Where frames reach its agent.
+  /// The address of its agent, for frames.
   pub address: SocketAddr,
-  /// How many flows it may hold.
+  /// How many flows may be open at it.
   pub connections: u32,
-  /// The target.
+  /// Unique within the service.
   pub id: id::Target,
-  /// What is believed of it.
+  /// Its health, by which new flows are placed.
   pub standing: Standing,
   pub(super) rank: Rank,
 }
 
-/// An immutable snapshot of one service: its targets, and the sets of targets that stood before.
+/// An immutable routing table of one service: its current set of targets and the previous sets.
 #[derive(Clone, Debug)]
 pub struct Table {
   by_id: HashMap<id::Target, u16>,
-  /// All targets of the sets.
+  /// The targets of all sets, each of them once.
   entries: Vec<Entry>,
-  /// How many of the sets are recent enough for a flow's opening packet to be of them.
+  /// How many of the sets, the current one included, an opening packet is routed by.
   recent: usize,
-  /// The revisions that brought the sets.
+  /// The revision of each set, in the order of `sets`.
   revisions: Vec<Revision>,
-  /// The revision in force.
+  /// The revision of the current set.
   revision: Revision,
-  /// The service.
   service: id::Service,
   /// Target sets as indices of `entries`, the current one first.
   sets: Vec<Vec<u16>>,
 }
 
 impl Table {
-  /// Builds the table of a service from its document, its history and what is believed of its
-  /// targets. The first `recent` sets, the current one counted, are asked about opening packets.
+  /// Builds the table of a service from its document, its previous sets (the newest first) and the
+  /// health of its targets. Opening packets are routed by the first `recent` sets, the current one
+  /// included.
   pub fn new(
     revision: Revision,
     service: &config::Service,
@@ -58,10 +58,10 @@
       service: service.id,
       sets: Vec::new(),
     };
-    table.add(&service.targets, &standing);
+    table.add_set(&service.targets, &standing);
     for set in history {
       table.revisions.push(set.revision);
-      table.add(&set.targets, |target| match standing(target) {
+      table.add_set(&set.targets, |target| match standing(target) {
         Standing::Silent => Standing::Silent,
         _ => Standing::Leaving,
       });
@@ -69,7 +69,11 @@
     table
   }
 
-  fn add(&mut self, targets: &[config::Target], standing: impl Fn(&config::Target) -> Standing) {
+  fn add_set(
+    &mut self,
+    targets: &[config::Target],
+    standing: impl Fn(&config::Target) -> Standing,
+  ) {
     let mut set = Vec::with_capacity(targets.len());
     for target in targets {
       let next = self.entries.len() as u16;
@@ -93,7 +97,7 @@
     self.sets[0].iter().map(|index| self.entry(*index))
   }
 
-  /// All entries: the current set's and those of the sets before.
+  /// The entries of the current set and of all previous sets, each target once.
   pub fn entries(&self) -> &[Entry] {
     &self.entries
   }
@@ -102,39 +106,39 @@
     &self.entries[usize::from(index)]
   }
 
-  /// The first candidates of a key in the current set, leaving targets counted, and in each
-  /// earlier set from a revision on.
+  /// The first candidate of a key in each set whose revision is `from` or later, whatever the
+  /// health of the targets is.
   pub fn earlier_firsts(&self, key: u64, from: Revision) -> BTreeSet<id::Target> {
     let sets = self.sets.iter().zip(&self.revisions);
-    let counted = sets.filter(|(_, revision)| **revision >= from);
-    let firsts = counted.filter_map(|(set, _)| {
+    let later_sets = sets.filter(|(_, revision)| **revision >= from);
+    let firsts = later_sets.filter_map(|(set, _)| {
       let entries = set.iter().map(|index| self.entry(*index));
       entries.max_by_key(|entry| entry.rank.score(key))
     });
     firsts.map(|entry| entry.id).collect()
   }
 
-  /// The entry of a target.
+  /// The entry of a target; none if no set contains it.
   pub fn get(&self, id: id::Target) -> Option<&Entry> {
     self.by_id.get(&id).map(|index| self.entry(*index))
   }
 
-  /// How many sets are asked about opening packets.
+  /// How many sets, the current one included, an opening packet is routed by.
   pub fn recent(&self) -> usize {
     self.recent
   }
 
-  /// The revision in force.
+  /// The revision of the current set.
   pub fn revision(&self) -> Revision {
     self.revision
   }
 
-  /// The service.
+  /// The service whose packets the table routes.
   pub fn service(&self) -> id::Service {
     self.service
   }
 
-  /// The sets to be asked about a packet.
+  /// The sets that a packet is routed by: all, or the recent ones if it opens a flow.
   pub(super) fn sets(&self, opens: bool) -> &[Vec<u16>] {
     if opens {
       &self.sets[..self.recent.min(self.sets.len())]
