--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The entry process: it takes callers' packets from the fabric, hands each to the target that
-//! has its flow, and keeps nothing that a flow needs.
+//! The balancer: receives callers' packets from the fabric and forwards each to the target that
+//! owns its flow, without any state per flow.
 
 mod controller;
 mod observations;
--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -27,35 +27,40 @@
   },
 };
 
-/// How often membership is looked at.
-const STEP: Duration = Duration::from_millis(100);
+/// How often answers to probes are read and due probes are sent.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the state is posted and the age of target sets is looked at.
-const POST: Duration = Duration::from_millis(500);
+/// How often the state is published and the age of target sets is checked.
+const DUMP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A flow's opening packets may be of a target set that was replaced less than this ago.
-const OPENING: Duration = Duration::from_mins(1);
+/// Opening packets are also routed by the target sets that were replaced less than this ago: a flow
+/// may have been opened by one of them, and its caller may still send opening packets.
+const OPENING_WINDOW: Duration = Duration::from_mins(1);
 
-/// Builds what the workers route by, from the configuration and from what they report.
+/// Builds the workers' routing tables from the configuration and from the targets' health, which it
+/// infers from the workers' reports and its own probes.
 pub struct Controller {
   batch: Batch,
   registry: Registry,
   counter: Arc<Counter>,
-  machine: membership::Machine,
-  /// When each set of targets came into force here.
-  since: HashMap<(id::Service, Revision), Instant>,
-  posted: Instant,
-  posted_version: Option<u64>,
+  membership: membership::Machine,
+  /// When each set of targets came into force in this process.
+  in_force_since: HashMap<(id::Service, Revision), Instant>,
+  last_dump: Instant,
+  /// The oldest version that a worker routed by at the last dump.
+  dumped_version: Option<u64>,
   snapshot: Snapshot,
-  taken: HashMap<usize, u64>,
-  totals: (u64, u64),
+  /// The version that each worker routes by, by the worker's number.
+  worker_versions: HashMap<usize, u64>,
+  packets_in: u64,
+  packets_out: u64,
   tunnel: Socket,
   view: Arc<View>,
   workers: Vec<Sender<Arc<Snapshot>>>,
 }
 
 impl Controller {
-  /// A controller of workers, with a socket of its own for probes.
+  /// Binds a socket for probes and sends the workers their first snapshot.
   pub fn new(
     tunnel: SocketAddr,
     view: Arc<View>,
@@ -67,40 +72,41 @@
       batch: Batch::default(),
       registry,
       counter,
-      machine: membership::Machine::new(membership::Settings::default()),
-      since: HashMap::new(),
-      posted: Instant::now(),
-      posted_version: None,
+      membership: membership::Machine::new(membership::Settings::default()),
+      in_force_since: HashMap::new(),
+      last_dump: Instant::now(),
+      dumped_version: None,
       snapshot: Snapshot::default(),
-      taken: HashMap::new(),
-      totals: (0, 0),
+      worker_versions: HashMap::new(),
+      packets_in: 0,
+      packets_out: 0,
       tunnel: Socket::bind(SocketAddr::new(tunnel.ip(), 0), false)?,
       view: Arc::default(),
       workers,
     };
-    controller.take_view(view)?;
+    controller.apply_view(view)?;
     Ok(controller)
   }
 
-  /// Runs until it is told to stop.
+  /// Processes views and reports until the supervisor stops it. Fails if a keyring is unusable.
   pub fn run(
     &mut self,
     views: &Receiver<Arc<View>>,
     reports: &Receiver<Report>,
     stop: &Stop,
   ) -> Result<(), Fault> {
-    let ticks = channel::tick(STEP);
+    let ticks = channel::tick(POLL_INTERVAL);
     while !stop.is_set() {
       select! {
         recv(views) -> view => {
           let newest = views.try_iter().last();
           if let Some(view) = newest.or(view.ok()) {
-            self.take_view(view)?;
+            self.apply_view(view)?;
           }
         }
         recv(reports) -> report => {
           if let Ok(report) = report {
-            self.take_report(report);
+            self.apply_report(report);
           }
         }
         recv(ticks) -> _ => self.tick(),
@@ -109,29 +115,31 @@
     Ok(())
   }
 
-  fn take_view(&mut self, view: Arc<View>) -> Result<(), Fault> {
+  fn apply_view(&mut self, view: Arc<View>) -> Result<(), Fault> {
     let now = Instant::now();
     self.view = view;
-    for seen in &self.view.services {
+    for in_force in &self.view.services {
       self
-        .since
-        .entry((seen.service.id, seen.revision))
+        .in_force_since
+        .entry((in_force.service.id, in_force.revision))
         .or_insert(now);
     }
     let view = Arc::clone(&self.view);
-    self.since.retain(|(service, revision), _| {
-      view.service(*service).is_some_and(|seen| {
-        seen.revision == *revision || seen.history.iter().any(|set| set.revision == *revision)
+    self.in_force_since.retain(|(service, revision), _| {
+      view.service(*service).is_some_and(|in_force| {
+        in_force.revision == *revision
+          || in_force.history.iter().any(|set| set.revision == *revision)
       })
     });
     self.snapshot.tagger = view.keyring.as_ref().map(Tagger::new).transpose()?;
     let listed = self.listed();
-    self.step(now, Event::Listed(listed));
+    self.step_membership(now, Event::Listed(listed));
     self.rebuild(now, None);
     Ok(())
   }
 
-  /// The targets in force and whether the operator or the list of instances says that they leave.
+  /// All targets of the current and previous sets. A current one is draining if its service or its
+  /// agent's instance says so.
   fn listed(&self) -> Vec<(Member, SocketAddr, bool)> {
     let leaving = self
       .view
@@ -146,10 +154,10 @@
     } in &self.view.services
     {
       for target in &service.targets {
-        let leaves = target.leaving || leaving.contains(&target.agent);
-        listed.push(((service.id, target.id), target.agent, leaves));
+        let is_leaving = target.leaving || leaving.contains(&target.agent);
+        listed.push(((service.id, target.id), target.agent, is_leaving));
       }
-      // Those of earlier sets may be dead: then they must not hold up a chain.
+      // Targets of previous sets are probed, too: a dead one would end a chain.
       for target in history.iter().flat_map(|set| &set.targets) {
         if service.target(target.id).is_none() {
           listed.push(((service.id, target.id), target.agent, false));
@@ -159,57 +167,57 @@
     listed
   }
 
-  fn take_report(&mut self, report: Report) {
+  fn apply_report(&mut self, report: Report) {
     let now = Instant::now();
-    self.totals.0 += report.packets_in;
-    self.totals.1 += report.packets_out;
-    self.taken.insert(report.worker, report.version);
+    self.packets_in += report.packets_in;
+    self.packets_out += report.packets_out;
+    self.worker_versions.insert(report.worker, report.version);
     if report.version < self.snapshot.version {
-      // A worker that was started again has missed it.
+      // A worker that has restarted has no snapshot.
       let _ = self.workers[report.worker].send(Arc::new(self.snapshot.clone()));
     }
     for member in report.heard {
-      self.step(now, Event::Heard(member));
+      self.step_membership(now, Event::Heard(member));
     }
     for member in report.sent {
-      self.step(now, Event::Sent(member));
+      self.step_membership(now, Event::Sent(member));
     }
     for (member, code) in report.refused {
-      self.step(now, Event::Refused(member, code));
+      self.step_membership(now, Event::Refused(member, code));
     }
-    let before = self.posted_version;
-    self.posted_version = self.version();
-    if before != self.posted_version {
-      self.post();
+    let previous = self.dumped_version;
+    self.dumped_version = self.common_version();
+    if previous != self.dumped_version {
+      self.dump();
     }
   }
 
   fn tick(&mut self) {
     let now = Instant::now();
-    self.receive(now);
-    self.step(now, Event::Tick);
-    if now.duration_since(self.posted) < POST {
+    self.receive_answers(now);
+    self.step_membership(now, Event::Tick);
+    if now.duration_since(self.last_dump) < DUMP_INTERVAL {
       return;
     }
-    self.posted = now;
+    self.last_dump = now;
     let changed = self
       .view
       .services
       .iter()
-      .filter(|seen| {
-        let table = self.snapshot.services.get(&seen.service.id);
-        table.is_some_and(|(_, table)| table.recent() != self.recent(now, seen))
+      .filter(|in_force| {
+        let table = self.snapshot.services.get(&in_force.service.id);
+        table.is_some_and(|(_, table)| table.recent() != self.recent_sets(now, in_force))
       })
-      .map(|seen| seen.service.id)
+      .map(|in_force| in_force.service.id)
       .collect::<Vec<_>>();
     for service in changed {
       self.rebuild(now, Some(service));
     }
-    self.post();
+    self.dump();
   }
 
-  /// Takes the answers to probes.
-  fn receive(&mut self, now: Instant) {
+  /// Reads the answers to probes: echoes and refusals.
+  fn receive_answers(&mut self, now: Instant) {
     let Some(tagger) = self.snapshot.tagger.clone() else {
       return;
     };
@@ -219,13 +227,13 @@
         match Frame::decode(datagram, &tagger) {
           Ok((Frame::Echo(echo), _)) => {
             if let Some(target) = echo.target {
-              self.step(now, Event::Heard((echo.service, target)));
+              self.step_membership(now, Event::Heard((echo.service, target)));
             }
           }
           Ok((Frame::Refusal(refusal), _)) => {
             let code = refusal.code();
             let member = (refusal.service, refusal.target);
-            self.step(now, Event::Refused(member, code));
+            self.step_membership(now, Event::Refused(member, code));
           }
           Ok(_) => self.counter.count(Code::FrameWrongTarget),
           Err(code) => self.counter.count(code),
@@ -235,8 +243,8 @@
     self.batch = batch;
   }
 
-  fn step(&mut self, now: Instant, event: Event) {
-    for action in self.machine.step(now, event) {
+  fn step_membership(&mut self, now: Instant, event: Event) {
+    for action in self.membership.step(now, event) {
       match action {
         Action::Changed((service, target), standing) => {
           log::info!("membership: target {target} of service {service} is now {standing:?}.");
@@ -268,20 +276,26 @@
     }
   }
 
-  /// Builds the table of one service, or of all, and hands the workers a new snapshot.
+  /// Rebuilds the table of one service, or of all, and sends the workers a new snapshot.
   fn rebuild(&mut self, now: Instant, only: Option<id::Service>) {
     let view = Arc::clone(&self.view);
     if only.is_none() {
       self.snapshot.services.clear();
     }
-    for seen in &view.services {
-      let service = &seen.service;
+    for in_force in &view.services {
+      let service = &in_force.service;
       if only.is_some_and(|only| only != service.id) {
         continue;
       }
-      let recent = self.recent(now, seen);
-      let standing = |target: &config::Target| self.machine.standing((service.id, target.id));
-      let table = Table::new(seen.revision, service, &seen.history, recent, standing);
+      let recent = self.recent_sets(now, in_force);
+      let standing = |target: &config::Target| self.membership.standing((service.id, target.id));
+      let table = Table::new(
+        in_force.revision,
+        service,
+        &in_force.history,
+        recent,
+        standing,
+      );
       self
         .snapshot
         .services
@@ -294,13 +308,13 @@
     }
   }
 
-  /// How many sets, the current one counted, are recent enough for opening packets.
-  fn recent(&self, now: Instant, seen: &InForce) -> usize {
-    let mut successor = seen.revision;
+  /// The number of sets, the current one included, that opening packets are routed by.
+  fn recent_sets(&self, now: Instant, in_force: &InForce) -> usize {
+    let mut successor = in_force.revision;
     let mut recent = 1;
-    for set in &seen.history {
-      let replaced = self.since.get(&(seen.service.id, successor));
-      if replaced.is_some_and(|at| now.duration_since(*at) >= OPENING) {
+    for set in &in_force.history {
+      let replaced_at = self.in_force_since.get(&(in_force.service.id, successor));
+      if replaced_at.is_some_and(|at| now.duration_since(*at) >= OPENING_WINDOW) {
         break;
       }
       recent += 1;
@@ -309,16 +323,17 @@
     recent
   }
 
-  /// The version that all workers route by.
-  fn version(&self) -> Option<u64> {
-    let all = self.taken.len() == self.workers.len();
-    let version = self.taken.values().min().copied();
+  /// The oldest version that a worker routes by; none while one has no snapshot.
+  fn common_version(&self) -> Option<u64> {
+    let all = self.worker_versions.len() == self.workers.len();
+    let version = self.worker_versions.values().min().copied();
     version.filter(|version| all && *version > 0)
   }
 
-  fn post(&self) {
+  /// Publishes the state that the resource API serves.
+  fn dump(&self) {
     let avoided = self
-      .machine
+      .membership
       .avoided()
       .into_iter()
       .map(|((service, target), standing)| {
@@ -328,10 +343,10 @@
       "path",
       json!({
         "avoided": avoided.collect::<Vec<_>>(),
-        "packets_in": self.totals.0,
-        "packets_out": self.totals.1,
-        "targets": self.machine.len(),
-        "version": self.version(),
+        "packets_in": self.packets_in,
+        "packets_out": self.packets_out,
+        "targets": self.membership.len(),
+        "version": self.common_version(),
       }),
     );
     self
--- a/src/balancer/observations.rs
+++ b/src/balancer/observations.rs
@@ -3,59 +3,60 @@
   std::collections::HashMap,
 };
 
-/// What a worker saw of the targets: their loads, and who was heard of and sent to since the last
-/// report.
+/// A worker's observations of targets: their loads, and which of them frames were received from and
+/// sent to since the last report.
 #[derive(Debug, Default)]
 pub struct Observations {
-  seen: HashMap<Member, Seen>,
+  observed: HashMap<Member, Observed>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Observed {
   heard: bool,
   load: u8,
   sent: bool,
 }
 
 impl Observations {
-  /// A frame came from a target, which says how busy it is.
+  /// Records a frame from a target and the load that it reports.
   pub fn heard(&mut self, member: Member, load: u8) {
-    let seen = self.seen.entry(member).or_default();
-    seen.heard = true;
-    seen.load = load;
+    let observed = self.observed.entry(member).or_default();
+    observed.heard = true;
+    observed.load = load;
   }
 
-  /// A frame went to a target.
-  pub fn sent(&mut self, member: Member) {
-    self.seen.entry(member).or_default().sent = true;
+  /// Records a frame that is sent to a target.
+  pub fn note_sent(&mut self, member: Member) {
+    self.observed.entry(member).or_default().sent = true;
   }
 
-  /// Who was heard of and sent to since this was asked last.
+  /// Returns the targets that frames were received from, and those that frames were sent to, since
+  /// the last call.
   pub fn take(&mut self) -> (Vec<Member>, Vec<Member>) {
     let mut heard = Vec::new();
     let mut sent = Vec::new();
-    for (member, seen) in &mut self.seen {
-      if std::mem::take(&mut seen.heard) {
+    for (member, observed) in &mut self.observed {
+      if std::mem::take(&mut observed.heard) {
         heard.push(*member);
       }
-      if std::mem::take(&mut seen.sent) {
+      if std::mem::take(&mut observed.sent) {
         sent.push(*member);
       }
     }
     (heard, sent)
   }
 
-  /// Forgets the targets that do not fit.
-  pub fn retain(&mut self, fits: impl Fn(Member) -> bool) {
-    self.seen.retain(|member, _| fits(*member));
+  /// Forgets the targets that `filter` rejects.
+  pub fn retain(&mut self, filter: impl Fn(Member) -> bool) {
+    self.observed.retain(|member, _| filter(*member));
   }
 }
 
 impl Loads for Observations {
   fn load(&self, service: id::Service, target: id::Target) -> u8 {
     self
-      .seen
+      .observed
       .get(&(service, target))
-      .map_or(0, |seen| seen.load)
+      .map_or(0, |observed| observed.load)
   }
 }
--- a/src/balancer/report.rs
+++ b/src/balancer/report.rs
@@ -1,20 +1,20 @@
 use crate::{Code, membership::Member};
 
-/// What a worker saw since its last report.
+/// What a worker observed since its last report, for the controller.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-  /// Targets that frames came from.
+  /// Targets that frames were received from.
   pub heard: Vec<Member>,
-  /// Packets from callers.
+  /// The number of packets from callers.
   pub packets_in: u64,
-  /// Packets to callers.
+  /// The number of packets to callers.
   pub packets_out: u64,
-  /// Targets that refused a frame.
+  /// Targets that refused a frame, with the result code of each refusal.
   pub refused: Vec<(Member, Code)>,
-  /// Targets that frames went to.
+  /// Targets that frames were sent to.
   pub sent: Vec<Member>,
-  /// The version of the snapshot that it routes by.
+  /// The version of the snapshot that the worker routes by; 0 before the first one.
   pub version: u64,
-  /// The worker's number.
+  /// The worker's number, from 0.
   pub worker: usize,
 }
--- a/src/balancer/run.rs
+++ b/src/balancer/run.rs
@@ -22,10 +22,11 @@
   },
 };
 
-/// How many reports of workers may wait.
-const REPORTS: usize = 1024;
+/// How many workers' reports are queued for the controller; further ones are dropped.
+const REPORT_QUEUE_MAX: usize = 1024;
 
-/// Runs a balancer until it is told to stop.
+/// Runs a balancer until a signal stops it, then for `linger_ms` more without answering probes, so
+/// that agents and the fabric move to other balancers.
 pub fn run(settings: &settings::Balancer) -> Result<(), Fault> {
   logging::start(&settings.log)?;
   let counter = Arc::new(Counter::default());
@@ -34,13 +35,14 @@
   log::info!("balancer: instance {} started.", settings.instance);
   while process.wait()? == Signal::Reload {}
   leaving.store(true, Ordering::Relaxed);
-  log::info!("balancer: leaving for {} ms.", settings.linger_ms);
+  log::info!("balancer: shutting down in {} ms.", settings.linger_ms);
   thread::sleep(Duration::from_millis(settings.linger_ms));
   process.tree.stop();
   Ok(())
 }
 
-/// Starts a balancer's parts; what it returns is set when the balancer is to leave.
+/// Starts a balancer's parts in `tree`. While the flag that it returns is set, probes aren't
+/// answered.
 pub fn start(
   settings: &settings::Balancer,
   counter: &Arc<Counter>,
@@ -58,7 +60,7 @@
     registry.clone(),
     views_in,
   );
-  let (reports_in, reports) = channel::bounded(REPORTS);
+  let (reports_in, reports) = channel::bounded(REPORT_QUEUE_MAX);
   let mut snapshots = Vec::new();
   for number in 0..settings.workers {
     let (sender, receiver) = channel::unbounded();
--- a/src/balancer/snapshot.rs
+++ b/src/balancer/snapshot.rs
@@ -3,19 +3,19 @@
   std::{collections::HashMap, net::SocketAddr, sync::Arc},
 };
 
-/// All that a worker needs to route packets, immutable, handed to it anew with each change.
+/// The immutable routing data of the workers; the controller sends them a new one at each change.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-  /// The tables, each with the address that callers reach.
+  /// The address of each service, which callers send packets to, and its routing table.
   pub services: HashMap<id::Service, (SocketAddr, Arc<Table>)>,
-  /// Makes and checks tags; none while no keyring is in force.
+  /// Tags and verifies frames and connection IDs; none while no keyring is in force.
   pub tagger: Option<Tagger>,
-  /// The version of the configuration that it was built from.
+  /// The version of the configuration view that it was built from.
   pub version: u64,
 }
 
 impl Snapshot {
-  /// The revision of a service in force; zero when it is unknown.
+  /// The revision in force of a service; 0 if the service is unknown.
   pub fn revision(&self, service: id::Service) -> Revision {
     self
       .services
--- a/src/balancer/worker.rs
+++ b/src/balancer/worker.rs
@@ -26,38 +26,40 @@
   },
 };
 
-/// How often a worker reports and looks for a new snapshot.
-const STEP: Duration = Duration::from_millis(50);
+/// How often a worker sends a report and checks for a new snapshot.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The token of the tunnel's socket; those of the services follow.
+/// The token of the tunnel socket; those of the services' sockets are higher.
 const TUNNEL: Token = Token(0);
 
-/// How many batches of one socket are taken before the others have their turn.
-const TURN: usize = 8;
+/// How many batches are read from a socket before the next socket is served.
+const BURST_MAX: usize = 8;
 
-/// What a worker is given.
+/// The settings of a worker.
 #[derive(Clone, Debug)]
 pub struct Settings {
-  /// The IP number that its sockets bind.
+  /// The local IP address to bind, where it differs from the addresses of the tunnel and services.
   pub bind: Option<IpAddr>,
-  /// Set while the process leaves: probes are not answered then.
+  /// Set during shutdown; probes aren't answered from then on.
   pub leaving: Arc<AtomicBool>,
-  /// The worker's number.
+  /// The worker's number, from 0, for its reports.
   pub number: usize,
-  /// Where frames reach the process.
+  /// The address that agents send frames to (UDP).
   pub tunnel: SocketAddr,
 }
 
-struct Entry {
+/// The socket of a service's address.
+struct Listener {
   service: id::Service,
   socket: Socket,
 }
 
-/// Carries packets in a thread of its own, with sockets of its own.
+/// Forwards packets in its own thread through its own sockets.
 pub struct Worker {
   batch: Batch,
   counter: Arc<Counter>,
-  entries: HashMap<usize, Entry>,
+  /// The services' sockets, by their tokens.
+  listeners: HashMap<usize, Listener>,
   next_token: usize,
   observations: Observations,
   poll: Poll,
@@ -70,7 +72,7 @@
 }
 
 impl Worker {
-  /// Binds the worker's tunnel socket.
+  /// Binds the tunnel socket; the services' sockets follow with the first snapshot.
   pub fn new(
     settings: Settings,
     counter: Arc<Counter>,
@@ -85,7 +87,7 @@
     Ok(Self {
       batch: Batch::default(),
       counter,
-      entries: HashMap::new(),
+      listeners: HashMap::new(),
       next_token: 1,
       observations: Observations::default(),
       poll,
@@ -98,18 +100,18 @@
     })
   }
 
-  /// Carries packets until it is told to stop.
+  /// Forwards packets until the supervisor stops it. Fails if waiting for the sockets fails.
   pub fn run(&mut self, stop: &Stop) -> Result<(), Fault> {
     let mut events = Events::with_capacity(64);
     let mut ready: Vec<Token> = Vec::new();
     let mut reported = Instant::now();
     while !stop.is_set() {
-      let wait = if ready.is_empty() {
-        STEP
+      let timeout = if ready.is_empty() {
+        POLL_INTERVAL
       } else {
         Duration::ZERO
       };
-      if let Err(error) = self.poll.poll(&mut events, Some(wait))
+      if let Err(error) = self.poll.poll(&mut events, Some(timeout))
         && error.kind() != std::io::ErrorKind::Interrupted
       {
         return Err(Fault::new(Code::ChildFailed, error));
@@ -119,28 +121,28 @@
           ready.push(event.token());
         }
       }
-      ready.retain(|token| self.take_turn(*token));
-      if reported.elapsed() >= STEP {
+      ready.retain(|token| self.serve(*token));
+      if reported.elapsed() >= POLL_INTERVAL {
         reported = Instant::now();
-        self.update();
+        self.apply_snapshot();
         self.send_report();
       }
     }
     Ok(())
   }
 
-  /// Handles some batches of one socket; true when more may wait.
-  fn take_turn(&mut self, token: Token) -> bool {
+  /// Reads up to [`BURST_MAX`] batches from a socket; true if there may be more.
+  fn serve(&mut self, token: Token) -> bool {
     let mut batch = std::mem::take(&mut self.batch);
-    let more = self.drain(token, &mut batch);
+    let more = self.read_burst(token, &mut batch);
     self.batch = batch;
     more
   }
 
-  fn drain(&mut self, token: Token, batch: &mut Batch) -> bool {
-    for _ in 0..TURN {
-      let socket = match self.entries.get(&token.0) {
-        Some(entry) => &entry.socket,
+  fn read_burst(&mut self, token: Token, batch: &mut Batch) -> bool {
+    for _ in 0..BURST_MAX {
+      let socket = match self.listeners.get(&token.0) {
+        Some(listener) => &listener.socket,
         None if token == TUNNEL => &self.tunnel,
         None => return false,
       };
@@ -153,20 +155,21 @@
         }
       }
       if token == TUNNEL {
-        self.take_frames(batch);
+        self.handle_frames(batch);
       } else {
-        self.take_packets(token.0, batch);
+        self.forward_packets(token.0, batch);
       }
     }
     true
   }
 
-  fn take_packets(&mut self, token: usize, batch: &Batch) {
+  /// Forwards callers' packets to the targets of a service.
+  fn forward_packets(&mut self, token: usize, batch: &Batch) {
     let snapshot = Arc::clone(&self.snapshot);
-    let Some(entry) = self.entries.get(&token) else {
+    let Some(listener) = self.listeners.get(&token) else {
       return;
     };
-    let service = entry.service;
+    let service = listener.service;
     let (Some(tagger), Some((_, table))) = (&snapshot.tagger, snapshot.services.get(&service))
     else {
       self.counter.count(Code::NotReady);
@@ -175,14 +178,14 @@
     let mut outbox = Outbox::default();
     for (caller, packet) in batch.datagrams() {
       self.report.packets_in += 1;
-      if let Err(code) = self.carry(tagger, table, caller, packet, &mut outbox) {
+      if let Err(code) = self.forward(tagger, table, caller, packet, &mut outbox) {
         self.counter.count(code);
       }
     }
     self.flush(outbox);
   }
 
-  fn carry<'a>(
+  fn forward<'a>(
     &mut self,
     tagger: &Tagger,
     table: &routing::Table,
@@ -211,10 +214,10 @@
         search,
       } => {
         for target in &chain {
-          self.observations.sent((table.service(), *target));
+          self.observations.note_sent((table.service(), *target));
         }
         for copy in copies {
-          self.post(
+          self.push_carry(
             tagger,
             copy,
             carry(copy, Chain::new(), search),
@@ -222,15 +225,15 @@
             outbox,
           )?;
         }
-        self.post(tagger, first, carry(first, chain, true), packet, outbox)
+        self.push_carry(tagger, first, carry(first, chain, true), packet, outbox)
       }
       Route::Named(hop) | Route::Relay(hop) => {
-        self.post(tagger, hop, carry(hop, Chain::new(), false), packet, outbox)
+        self.push_carry(tagger, hop, carry(hop, Chain::new(), false), packet, outbox)
       }
     }
   }
 
-  fn post<'a>(
+  fn push_carry<'a>(
     &mut self,
     tagger: &Tagger,
     hop: routing::Hop,
@@ -238,14 +241,15 @@
     packet: &'a [u8],
     outbox: &mut Outbox<'a>,
   ) -> Result<(), Code> {
-    self.observations.sent((carry.service, carry.target));
+    self.observations.note_sent((carry.service, carry.target));
     let mut header = [0; HEADER_MAX];
     let length = Frame::Carry(carry).encode(packet.len(), tagger, &mut header)?;
     outbox.push(hop.address, header, length, packet);
     Ok(())
   }
 
-  fn take_frames(&mut self, batch: &Batch) {
+  /// Processes frames from agents, and sends the answers among them to their callers.
+  fn handle_frames(&mut self, batch: &Batch) {
     let snapshot = Arc::clone(&self.snapshot);
     let Some(tagger) = &snapshot.tagger else {
       self.counter.count(Code::NotReady);
@@ -255,14 +259,14 @@
     for (from, datagram) in batch.datagrams() {
       match Frame::decode(datagram, tagger) {
         Ok((Frame::Return(frame), packet)) => {
-          self.give_back(&frame, packet, &mut answers);
+          self.push_answer(&frame, packet, &mut answers);
         }
         Ok((Frame::Echo(echo), _)) => {
           if let Some(target) = echo.target {
             self.observations.heard((echo.service, target), echo.load);
           }
         }
-        Ok((Frame::Probe(probe), _)) => self.echo(&snapshot, tagger, from, &probe),
+        Ok((Frame::Probe(probe), _)) => self.answer_probe(&snapshot, tagger, from, &probe),
         Ok((Frame::Refusal(refusal), _)) => {
           let code = refusal.code();
           self.counter.count(code);
@@ -274,18 +278,21 @@
       }
     }
     for (service, mut outbox) in answers {
-      let entry = self.entries.values().find(|entry| entry.service == service);
-      let Some(entry) = entry else {
+      let listener = self
+        .listeners
+        .values()
+        .find(|listener| listener.service == service);
+      let Some(listener) = listener else {
         self.counter.count(Code::FrameWrongService);
         continue;
       };
-      for _ in 0..outbox.flush(&entry.socket) {
+      for _ in 0..outbox.flush(&listener.socket) {
         self.counter.count(Code::SendFailed);
       }
     }
   }
 
-  fn give_back<'a>(
+  fn push_answer<'a>(
     &mut self,
     frame: &Return,
     packet: &'a [u8],
@@ -299,8 +306,8 @@
     outbox.push(frame.caller, [0; HEADER_MAX], 0, packet);
   }
 
-  /// Tells an agent that this balancer carries its answers; one that leaves keeps silent.
-  fn echo(&self, snapshot: &Snapshot, tagger: &Tagger, to: SocketAddr, probe: &Probe) {
+  /// Answers an agent's probe if this balancer knows the service and isn't shutting down.
+  fn answer_probe(&self, snapshot: &Snapshot, tagger: &Tagger, to: SocketAddr, probe: &Probe) {
     let leaving = self.settings.leaving.load(Ordering::Relaxed);
     if leaving || !snapshot.services.contains_key(&probe.service) {
       return;
@@ -325,25 +332,30 @@
     }
   }
 
-  /// Takes the newest snapshot, and binds and closes the services' sockets as it says.
-  fn update(&mut self) {
+  /// Switches to the newest snapshot, if there is one: binds the sockets of its services and closes
+  /// the others.
+  fn apply_snapshot(&mut self) {
     let Some(snapshot) = self.snapshots.try_iter().last() else {
       return;
     };
-    let gone = self
-      .entries
+    let outdated = self
+      .listeners
       .iter()
-      .filter(|(_, entry)| !self.serves(&snapshot, entry))
+      .filter(|(_, listener)| !self.is_current(&snapshot, listener))
       .map(|(token, _)| *token)
       .collect::<Vec<_>>();
-    for token in gone {
-      if let Some(entry) = self.entries.remove(&token) {
-        let _ = entry.socket.deregister(self.poll.registry());
+    for token in outdated {
+      if let Some(listener) = self.listeners.remove(&token) {
+        let _ = listener.socket.deregister(self.poll.registry());
       }
     }
     for (service, (address, _)) in &snapshot.services {
-      if !self.entries.values().any(|entry| entry.service == *service) {
-        self.open(*service, bound(*address, self.settings.bind));
+      if !self
+        .listeners
+        .values()
+        .any(|listener| listener.service == *service)
+      {
+        self.listen(*service, bound(*address, self.settings.bind));
       }
     }
     self.observations.retain(|(service, target)| {
@@ -353,30 +365,32 @@
     self.snapshot = snapshot;
   }
 
-  fn serves(&self, snapshot: &Snapshot, entry: &Entry) -> bool {
-    let Some((address, _)) = snapshot.services.get(&entry.service) else {
+  /// Whether a listener's socket is bound to its service's address in the snapshot.
+  fn is_current(&self, snapshot: &Snapshot, listener: &Listener) -> bool {
+    let Some((address, _)) = snapshot.services.get(&listener.service) else {
       return false;
     };
-    let wanted = bound(*address, self.settings.bind);
-    entry
+    let expected = bound(*address, self.settings.bind);
+    listener
       .socket
       .address()
-      .is_ok_and(|address| address == wanted)
+      .is_ok_and(|address| address == expected)
   }
 
-  fn open(&mut self, service: id::Service, address: SocketAddr) {
+  /// Binds the socket of a service; a failure is logged, and the service stays without a socket.
+  fn listen(&mut self, service: id::Service, address: SocketAddr) {
     let socket = match Socket::bind(address, true) {
       Ok(socket) => socket,
       Err(fault) => {
         self.counter.count(fault.code);
-        log::error!("balancer: service {service} is not served: {fault}.");
+        log::error!("balancer: failed to bind the address of service {service}: {fault}.");
         return;
       }
     };
     let token = self.next_token;
     self.next_token += 1;
     if socket.register(self.poll.registry(), Token(token)).is_ok() {
-      self.entries.insert(token, Entry { service, socket });
+      self.listeners.insert(token, Listener { service, socket });
     }
   }
 
@@ -393,7 +407,8 @@
   }
 }
 
-/// The flow of a caller's packet.
+/// The flow of a caller's packet: named by the connection ID if an agent of the service issued it,
+/// and keyed by a hash of the connection ID otherwise.
 fn classify(service: id::Service, packet: &[u8], tagger: &Tagger) -> Result<Flow, Code> {
   let packet = Packet::read(packet)?;
   if let Some(cid) = Cid::decode(packet.destination, service, tagger) {
