--- a/src/ledger/machine.rs
+++ b/src/ledger/machine.rs
@@ -119,7 +119,7 @@
   }
 
   /// How many requests were allowed to run since the start.
-  pub fn ran(&self) -> u64 {
+  pub fn run_count(&self) -> u64 {
     self.ran
   }
 
