--- a/tests/machines/admission.rs
+++ b/tests/machines/admission.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn slots_are_filled_then_requests_wait_then_they_are_shed_at_once() {
+fn slots_fill_then_the_queue_then_requests_are_shed() {
   let mut machine = machine(2);
   let now = Instant::now();
   for ticket in 0..2 {
@@ -36,11 +36,11 @@
     assert_eq!(actions, [Action::Wait(Ticket(ticket))]);
   }
   let actions = machine.step(now, arrived(now, 6, 6, true));
-  assert!(matches!(actions[..], [Action::Shed(Ticket(6), come_back)] if !come_back.is_zero()));
+  assert!(matches!(actions[..], [Action::Shed(Ticket(6), retry_after)] if !retry_after.is_zero()));
 }
 
 #[test]
-fn a_request_of_a_peer_runs_now_or_not_at_all() {
+fn handed_off_request_is_never_queued() {
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_earliest_deadline_goes_first() {
+fn earliest_deadline_starts_first() {
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_waiting_request_whose_time_is_over_is_told_at_once() {
+fn queued_request_is_shed_at_its_deadline() {
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
@@ -76,9 +76,9 @@
   assert!(matches!(actions[..], [Action::Shed(Ticket(1), _)]));
 }
 
-/// Also when the process slept through the deadline: nothing starts that nobody waits for.
+/// After a pause of the process, a freed slot must not go to a request whose deadline is over.
 #[test]
-fn a_process_that_slept_starts_nothing_that_is_over() {
+fn no_expired_request_starts_after_a_pause() {
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_caller_cannot_take_every_slot() {
+fn caller_with_fewer_running_requests_goes_first() {
   let mut machine = machine(2);
   let now = Instant::now();
   for ticket in 0..6 {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_request_that_was_given_up_frees_its_place() {
+fn cancelled_request_leaves_the_queue() {
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn retries_are_a_tenth_of_first_tries() {
+fn retries_are_a_tenth_of_first_attempts() {
   let mut budget = Budget::default();
   let mut retries = 0;
   for _ in 0..10_000 {
@@ -128,20 +128,22 @@
 proptest! {
   #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-  /// Never more run than there are slots, each request is started or refused exactly once, and
-  /// none is started after its time.
+  /// No more requests run than there are slots, none is both started and shed or gets either twice,
+  /// and none is started after its deadline.
   #[test]
-  fn every_request_has_one_word(steps in prop::collection::vec((0..4_u8, 0..5_u64, 0..300_u64), 1..300)) {
+  fn every_request_is_decided_at_most_once(
+    steps in prop::collection::vec((0..4_u8, 0..5_u64, 0..300_u64), 1..300),
+  ) {
     let mut machine = machine(3);
     let mut now = Instant::now();
-    let (mut running, mut told, mut next) = (Vec::new(), HashSet::new(), 0);
-    let mut ends = Vec::new();
+    let (mut running, mut decided, mut next) = (Vec::new(), HashSet::new(), 0);
+    let mut deadlines = Vec::new();
     for (kind, caller, time) in steps {
       let event = match kind {
         0 | 1 => {
           next += 1;
           let start_by = now + Duration::from_millis(time);
-          ends.push(start_by);
+          deadlines.push(start_by);
           Event::Arrived { caller, start_by, ticket: Ticket(next), waits: kind == 0 }
         }
         2 if !running.is_empty() => {
@@ -154,10 +156,10 @@
       };
       for action in machine.step(now, event) {
         match action {
-          Action::Shed(ticket, _) => prop_assert!(told.insert(ticket), "told twice"),
+          Action::Shed(ticket, _) => prop_assert!(decided.insert(ticket), "decided twice"),
           Action::Start(ticket) => {
-            prop_assert!(told.insert(ticket), "told twice");
-            prop_assert!(ends[ticket.0 as usize - 1] > now, "started after its time");
+            prop_assert!(decided.insert(ticket), "decided twice");
+            prop_assert!(deadlines[ticket.0 as usize - 1] > now, "started after its deadline");
             running.push(ticket);
           }
           Action::Wait(_) => {}
