--- a/tests/machines/membership.rs
+++ b/tests/machines/membership.rs
@@ -20,8 +20,8 @@
   Event::Listed(vec![(MEMBER, address(1), leaving)])
 }
 
-/// Lets time pass in ticks of 100 ms, with a packet sent to the target at each.
-fn pass(machine: &mut Machine, now: &mut Instant, ticks: u32) -> usize {
+/// Ticks every 100 ms, with a packet sent to the target each time; returns the number of probes.
+fn run_ticks(machine: &mut Machine, now: &mut Instant, ticks: u32) -> usize {
   let mut probes = 0;
   for _ in 0..ticks {
     *now += Duration::from_millis(100);
@@ -36,37 +36,37 @@
 }
 
 #[test]
-fn a_listed_target_that_is_dead_is_found_silent() {
+fn unresponsive_target_becomes_silent() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
-  pass(&mut machine, &mut now, 20);
+  run_ticks(&mut machine, &mut now, 20);
   assert_eq!(machine.standing(MEMBER), Standing::Silent);
 }
 
 #[test]
-fn a_silent_target_that_is_heard_of_is_live_at_once() {
+fn silent_target_is_live_after_one_frame() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
-  pass(&mut machine, &mut now, 20);
+  run_ticks(&mut machine, &mut now, 20);
   machine.step(now, Event::Heard(MEMBER));
   assert_eq!(machine.standing(MEMBER), Standing::Live);
 }
 
 #[test]
-fn a_target_that_answers_is_never_probed() {
+fn responsive_target_is_not_probed() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
   for _ in 0..100 {
     machine.step(now, Event::Heard(MEMBER));
-    assert_eq!(pass(&mut machine, &mut now, 1), 0);
+    assert_eq!(run_ticks(&mut machine, &mut now, 1), 0);
   }
 }
 
 #[test]
-fn a_target_without_traffic_is_never_probed() {
+fn target_without_traffic_is_not_probed() {
   let mut machine = Machine::new(Settings::default());
   let now = Instant::now();
   machine.step(now, listed(false));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn its_own_word_that_it_leaves_goes_before_the_list() {
+fn refusal_by_draining_target_overrides_configuration_for_a_while() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_leaving_one_that_is_still_listed_live_turns_when_the_list_does() {
+fn live_target_becomes_leaving_with_the_configuration() {
   let mut machine = Machine::new(Settings::default());
   let now = Instant::now();
   machine.step(now, listed(false));
@@ -97,40 +97,40 @@
   assert_eq!(actions, [Action::Changed(MEMBER, Standing::Leaving)]);
 }
 
-/// A dead one that was leaving would end every chain that it stood in.
+/// A dead target that counts as draining would end every chain that contains it.
 #[test]
-fn a_leaving_target_that_is_dead_is_found_silent() {
+fn unresponsive_leaving_target_becomes_silent() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(true));
-  pass(&mut machine, &mut now, 20);
+  run_ticks(&mut machine, &mut now, 20);
   assert_eq!(machine.standing(MEMBER), Standing::Silent);
 }
 
 #[test]
-fn a_process_that_slept_suspects_nobody_for_it() {
+fn no_target_becomes_silent_after_a_pause_of_this_process() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
   machine.step(now, Event::Heard(MEMBER));
-  pass(&mut machine, &mut now, 10);
+  run_ticks(&mut machine, &mut now, 10);
   now += Duration::from_secs(10);
   machine.step(now, Event::Tick);
   assert_eq!(machine.standing(MEMBER), Standing::Live);
 }
 
 #[test]
-fn an_instance_at_another_address_inherits_no_suspicion() {
+fn target_at_a_new_address_is_live_again() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   machine.step(now, listed(false));
-  pass(&mut machine, &mut now, 20);
+  run_ticks(&mut machine, &mut now, 20);
   machine.step(now, Event::Listed(vec![(MEMBER, address(2), false)]));
   assert_eq!(machine.standing(MEMBER), Standing::Live);
 }
 
 #[test]
-fn probes_stay_within_their_budget() {
+fn probes_stay_within_the_rate_limit() {
   let mut machine = Machine::new(Settings::default());
   let mut now = Instant::now();
   let members = (1..=500).map(|id| (id::Service(1), id::Target(id)));
