--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn new_flows_spread_over_all_targets() {
+fn new_flows_are_distributed_evenly() {
   let table = table(7, |_| Standing::Live);
   let mut counts: HashMap<u32, u32> = HashMap::new();
   for key in 0..7000 {
@@ -49,22 +49,22 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_candidates_takes_a_new_flow() {
-  struct Busy;
-  impl Loads for Busy {
+fn new_flow_goes_to_the_less_loaded_of_two_candidates() {
+  struct FirstIsFull;
+  impl Loads for FirstIsFull {
     fn load(&self, _: id::Service, target: id::Target) -> u8 {
       if target.0 == 1 { 255 } else { 10 }
     }
   }
   let table = table(7, |_| Standing::Live);
   for key in 0..1000 {
-    let route = Machine::step(&table, opening(key), &Busy).unwrap();
+    let route = Machine::step(&table, opening(key), &FirstIsFull).unwrap();
     assert_ne!(last(route), 1);
   }
 }
 
 #[test]
-fn a_leaving_target_takes_no_new_flow_and_is_asked_for_old_ones() {
+fn leaving_target_is_in_chains_but_opens_no_flow() {
   let table = table(3, |id| {
     if id == 1 {
       Standing::Leaving
@@ -72,19 +72,19 @@
       Standing::Live
     }
   });
-  let mut asked = 0;
+  let mut included = 0;
   for key in 0..1000 {
     let route = Machine::step(&table, opening(key), &NoLoads).unwrap();
     assert_matches!(&route, Route::Chain { chain, first, .. } => {
-      asked += u32::from(first.target.0 == 1 || chain.iter().any(|target| target.0 == 1));
+      included += u32::from(first.target.0 == 1 || chain.iter().any(|target| target.0 == 1));
     });
     assert_ne!(last(route), 1);
   }
-  assert!(asked > 500, "asked {asked} times");
+  assert!(included > 500, "in {included} chains");
 }
 
 #[test]
-fn a_silent_target_holds_up_no_chain_and_gets_a_copy() {
+fn silent_target_gets_copies_and_is_in_no_chain() {
   let table = table(4, |id| {
     if id == 1 {
       Standing::Silent
@@ -104,10 +104,9 @@
   assert!(copies_seen > 300, "{copies_seen} copies");
 }
 
-/// Two halves that do not reach each other: each avoids the other. (A rule that forgave silence
-/// from half of the targets on lost every second opening packet.)
+/// In a network partition, no new flow may be placed on the unreachable half of the targets.
 #[test]
-fn half_of_the_targets_silent_are_avoided() {
+fn new_flows_avoid_silent_targets_even_if_half_are_silent() {
   let table = table(4, |id| {
     if id <= 2 {
       Standing::Silent
@@ -121,7 +120,7 @@
 }
 
 #[test]
-fn one_is_tried_when_all_seem_silent() {
+fn opening_packet_is_routed_when_all_targets_are_silent() {
   let table = table(4, |_| Standing::Silent);
   for key in 0..100 {
     assert!(last(Machine::step(&table, opening(key), &NoLoads).unwrap()) > 0);
@@ -129,7 +128,7 @@
 }
 
 #[test]
-fn a_named_target_that_is_unknown_here_is_looked_for_at_another() {
+fn packet_naming_an_unknown_target_is_relayed() {
   let table = table(2, |_| Standing::Live);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
@@ -139,7 +138,7 @@
 }
 
 #[test]
-fn a_named_target_of_an_earlier_set_is_reached() {
+fn packet_naming_a_target_of_a_previous_set_is_sent_to_it() {
   let history = [Set {
     revision: Revision(1),
     targets: vec![target(9)],
@@ -157,7 +156,7 @@
 }
 
 #[test]
-fn no_live_target_means_unroutable_for_a_relay() {
+fn relay_without_a_live_target_is_unroutable() {
   let table = table(2, |_| Standing::Leaving);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
@@ -171,38 +170,38 @@
 }
 
 #[test]
-fn answers_leave_by_the_callers_last_balancer_until_it_is_quiet() {
-  let (near, far) = (balancer(1), balancer(2));
+fn answers_use_the_callers_last_balancer_until_it_times_out() {
+  let (first, second) = (balancer(1), balancer(2));
   let caller = SocketAddr::from(([127, 0, 0, 1], 9));
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[near, far]);
-  path.carried(start, caller, near, true);
-  path.heard(start, far);
-  assert_eq!(path.choose(start, caller, &mut rng), Some(near));
+  path.list(start, &[first, second]);
+  path.carried(start, caller, first, true);
+  path.heard(start, second);
+  assert_eq!(path.choose(start, caller, &mut rng), Some(first));
   let later = start + Duration::from_secs(3);
-  path.heard(later, far);
-  assert_eq!(path.choose(later, caller, &mut rng), Some(far));
+  path.heard(later, second);
+  assert_eq!(path.choose(later, caller, &mut rng), Some(second));
 }
 
-/// An agent to which another passed a packet cannot tell from it that the balancer is near. (When
-/// it did, its answers went to a balancer that was cut off from it.)
+/// A forwarded packet doesn't show that its balancer can be reached from here; answers sent to it
+/// might be lost.
 #[test]
-fn a_balancer_known_only_through_a_passed_packet_is_not_preferred() {
-  let (near, far) = (balancer(1), balancer(2));
+fn balancer_of_a_forwarded_packet_is_not_considered_responsive() {
+  let (first, second) = (balancer(1), balancer(2));
   let caller = SocketAddr::from(([127, 0, 0, 1], 9));
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[near, far]);
-  path.heard(start, near);
-  path.carried(start, caller, far, false);
-  assert_eq!(path.choose(start, caller, &mut rng), Some(near));
+  path.list(start, &[first, second]);
+  path.heard(start, first);
+  path.carried(start, caller, second, false);
+  assert_eq!(path.choose(start, caller, &mut rng), Some(first));
 }
 
 #[test]
-fn a_quiet_balancer_is_probed_once_a_second() {
+fn unresponsive_balancer_is_probed_once_per_second() {
   let mut path = Path::default();
   let start = Instant::now();
   path.list(start, &[balancer(1), balancer(2)]);
