--- a/tests/machines/wire.rs
+++ b/tests/machines/wire.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_longest_header_fits() {
+fn longest_header_fits_the_buffer() {
   let mut header = [0; HEADER_MAX];
   frame(fallwell::wire::CHAIN_MAX)
     .encode(1200, &tagger(&[1]), &mut header)
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_frame_is_read_as_it_was_written() {
+fn frame_and_packet_survive_encoding_and_decoding() {
   let tagger = tagger(&[1]);
   let mut header = [0; HEADER_MAX];
   let length = frame(3).encode(4, &tagger, &mut header).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_frame_of_a_former_key_is_read_while_the_key_is_held() {
+fn previous_secret_is_accepted_while_it_is_in_the_keyring() {
   let mut header = [0; HEADER_MAX];
   let length = frame(0).encode(0, &tagger(&[1]), &mut header).unwrap();
   assert_matches!(Frame::decode(&header[..length], &tagger(&[2, 1])), Ok(_));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_connection_id_of_one_service_is_a_strangers_to_another() {
+fn connection_id_is_rejected_by_another_service() {
   let tagger = tagger(&[1]);
   let cid = Cid {
     incarnation: id::Incarnation(3),
@@ -87,18 +87,22 @@
 
 proptest! {
   #[test]
-  fn random_bytes_are_never_taken_for_a_frame(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+  fn random_bytes_are_not_decoded_as_a_frame(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
     prop_assert!(Frame::decode(&bytes, &tagger(&[1])).is_err());
   }
 
   #[test]
-  fn a_changed_or_cut_frame_is_refused(at in any::<prop::sample::Index>(), bit in 0..8_u8, cut: bool) {
+  fn modified_or_truncated_frame_is_rejected(
+    at in any::<prop::sample::Index>(),
+    bit in 0..8_u8,
+    truncate: bool,
+  ) {
     let tagger = tagger(&[1]);
     let mut header = [0; HEADER_MAX];
     let length = frame(2).encode(10, &tagger, &mut header).unwrap();
     let mut datagram = header[..length].to_vec();
     datagram.extend([0; 10]);
-    if cut {
+    if truncate {
       datagram.truncate(at.index(datagram.len()));
     } else {
       datagram[at.index(length)] ^= 1 << bit;
@@ -107,14 +111,14 @@
   }
 
   #[test]
-  fn any_packet_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+  fn reading_arbitrary_packets_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
     if let Ok(packet) = Packet::read(&bytes) {
       prop_assert!(packet.destination.len() <= 20);
     }
   }
 
   #[test]
-  fn a_random_connection_id_is_a_callers_own(bytes in any::<[u8; 16]>()) {
+  fn random_connection_id_is_not_taken_for_an_agents(bytes in any::<[u8; 16]>()) {
     prop_assert_eq!(Cid::decode(&bytes, id::Service(1), &tagger(&[1])), None);
   }
 }
