--- a/tests/machines/flow.rs
+++ b/tests/machines/flow.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_frame_of_another_service_is_refused() {
+fn frame_for_another_service_is_refused() {
   let mut frame = carry(Flow::Keyed {
     key: 1,
     opens: true,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_frame_of_another_target_is_refused() {
+fn frame_for_another_target_is_refused() {
   let mut frame = carry(Flow::Keyed {
     key: 1,
     opens: true,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_flow_of_an_earlier_run_is_reset() {
+fn flow_of_a_previous_incarnation_is_reset() {
   let frame = carry(Flow::Named {
     incarnation: id::Incarnation(6),
     target: id::Target(1),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_packet_that_names_another_target_is_passed_there() {
+fn packet_naming_another_target_is_forwarded_to_it() {
   let frame = carry(Flow::Named {
     incarnation: id::Incarnation(6),
     target: id::Target(2),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_leaving_target_sends_a_new_flow_to_another() {
+fn leaving_target_redirects_new_flows() {
   let mut machine = machine(Settings::default());
   machine.step(Instant::now(), None, Event::Leaving(true));
   let frame = carry(Flow::Keyed {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_full_target_sends_a_new_flow_to_another() {
+fn full_target_redirects_new_flows() {
   let frame = carry(Flow::Keyed {
     key: 1,
     opens: true,
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_flow_that_was_redirected_thrice_is_refused() {
+fn flow_is_refused_after_three_redirects() {
   let mut machine = machine(Settings::default());
   machine.step(Instant::now(), None, Event::Leaving(true));
   let mut frame = carry(Flow::Keyed {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_leaving_target_keeps_its_flows() {
+fn leaving_target_keeps_its_flows() {
   let mut machine = machine(Settings::default());
   let frame = carry(Flow::Keyed {
     key: 1,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_copy_opens_nothing() {
+fn copy_opens_no_flow() {
   let mut frame = carry(Flow::Keyed {
     key: 1,
     opens: true,
@@ -152,15 +152,15 @@
   for key in 0..1000 {
     step(&mut machine, &carry(Flow::Keyed { key, opens: true }), 0);
   }
-  let (owned, passed) = machine.remembered();
+  let (owned, forwarded) = machine.remembered();
   assert!(
-    owned <= 10 && passed <= 10,
-    "{owned} owned, {passed} passed"
+    owned <= 10 && forwarded <= 10,
+    "{owned} owned, {forwarded} forwarded"
   );
 }
 
 #[test]
-fn searches_are_bounded() {
+fn searches_are_rate_limited() {
   let settings = Settings {
     searches_per_second: 5,
     ..Settings::default()
@@ -178,8 +178,8 @@
   assert_eq!(searches, 5);
 }
 
-/// Flows whose packets name no target, opened over many changes of the target set, with balancers
-/// of every age.
+/// Packets that name no target must still reach their flow's owner after many changes of the target
+/// set, also through balancers with an outdated configuration.
 #[test]
 fn flows_without_a_target_in_their_packets_survive_sixteen_changes() {
   let mut world = World::new(7, 4);
@@ -191,20 +191,20 @@
         key: next_key,
         opens: true,
       };
-      let fate = world.packet_until_taken(change as usize % 4, flow);
+      let fate = world.send_with_retries(change as usize % 4, flow);
       if let (Flow::Keyed { key, .. }, Fate::Opened(at)) = (flow, fate) {
         world.flows.insert(key, at);
       }
     }
-    // The oldest leaves and one is added; leaving targets keep their flows.
-    let leaving = *world.targets.keys().next().unwrap();
-    world.targets.remove(&leaving);
+    // The oldest target is removed, but its agent keeps its flows; a new target is added.
+    let removed = *world.targets.keys().next().unwrap();
+    world.targets.remove(&removed);
     world.targets.insert(8 + change, target(8 + change));
     world.start_agent(8 + change);
     world.publish();
     world.update_balancer(change as usize % 4);
   }
-  let (mut broken, mut hops) = (0, 0);
+  let (mut lost, mut hops) = (0, 0);
   let flows = world.flows.clone();
   for (key, owner) in &flows {
     for balancer in 0..4 {
@@ -212,17 +212,17 @@
         key: *key,
         opens: false,
       };
-      match world.packet_until_taken(balancer, flow) {
-        Fate::Delivered(at, passed) if at == *owner => hops += passed,
-        _ => broken += 1,
+      match world.send_with_retries(balancer, flow) {
+        Fate::Delivered(at, count) if at == *owner => hops += count,
+        _ => lost += 1,
       }
     }
   }
   let packets = flows.len() * 4;
   println!(
-    "{packets} packets of {} flows: {broken} broken, {hops} hops",
+    "{packets} packets of {} flows: {lost} lost, {hops} hops",
     flows.len()
   );
   assert!(flows.len() > 700);
-  assert_eq!(broken, 0);
+  assert_eq!(lost, 0);
 }
--- a/tests/machines/main.rs
+++ b/tests/machines/main.rs
@@ -1,4 +1,4 @@
-//! Proofs at the state machines, without sockets and clocks.
+//! Tests of the state machines, without sockets or clocks.
 
 #[path = "../support/mesh.rs"]
 mod mesh;
--- a/tests/machines/random_run.rs
+++ b/tests/machines/random_run.rs
@@ -1,5 +1,5 @@
-//! One long randomised run over the machines: balancers with every age of configuration, targets
-//! that come, leave and die, suspicions right and wrong, together and twice.
+//! A long randomised run: targets are added, drained and killed, while balancers have outdated
+//! configurations and consider targets silent, rightly or not.
 
 use {
   super::world::{Fate, World, target},
@@ -11,19 +11,19 @@
   std::env,
 };
 
-/// A step of the run; numbers choose among what there is.
+/// A step of the run. Numbers choose a balancer, target or flow, modulo how many there are.
 #[derive(Clone, Debug)]
 enum Step {
   AddTarget,
   KillTarget(usize),
-  LeaveTarget(usize),
+  DrainTarget(usize),
   OpenFlow(usize, u64),
-  Packet(usize, usize),
-  ReplaceBalancer(usize, usize),
-  ReturnTarget(usize),
-  Suspect(usize, usize),
-  Trust(usize),
-  Update(usize),
+  SendPacket(usize, usize),
+  RestartBalancer(usize, usize),
+  UndrainTarget(usize),
+  SetSilent(usize, usize),
+  ClearSilent(usize),
+  UpdateBalancer(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -31,21 +31,21 @@
   prop_oneof![
     1 => Just(Step::AddTarget),
     1 => pick().prop_map(Step::KillTarget),
-    1 => pick().prop_map(Step::LeaveTarget),
+    1 => pick().prop_map(Step::DrainTarget),
     8 => (pick(), any::<u64>()).prop_map(|(balancer, key)| Step::OpenFlow(balancer, key)),
-    20 => (pick(), pick()).prop_map(|(balancer, flow)| Step::Packet(balancer, flow)),
-    1 => (pick(), pick()).prop_map(|(one, peer)| Step::ReplaceBalancer(one, peer)),
-    1 => pick().prop_map(Step::ReturnTarget),
-    3 => (pick(), pick()).prop_map(|(balancer, target)| Step::Suspect(balancer, target)),
-    1 => pick().prop_map(Step::Trust),
-    4 => pick().prop_map(Step::Update),
+    20 => (pick(), pick()).prop_map(|(balancer, flow)| Step::SendPacket(balancer, flow)),
+    1 => (pick(), pick()).prop_map(|(balancer, peer)| Step::RestartBalancer(balancer, peer)),
+    1 => pick().prop_map(Step::UndrainTarget),
+    3 => (pick(), pick()).prop_map(|(balancer, target)| Step::SetSilent(balancer, target)),
+    1 => pick().prop_map(Step::ClearSilent),
+    4 => pick().prop_map(Step::UpdateBalancer),
   ]
 }
 
 const BALANCERS: usize = 4;
 
 #[derive(Debug, Default)]
-struct Figures {
+struct Counts {
   broken: u64,
   delivered: u64,
   opened: u64,
@@ -53,36 +53,36 @@
 }
 
 struct Run {
-  figures: Figures,
-  next: u32,
+  counts: Counts,
+  last_target: u32,
   world: World,
 }
 
 impl Run {
-  fn take(&mut self, step: &Step) {
+  fn apply(&mut self, step: &Step) {
     match *step {
       Step::AddTarget => self.add(),
       Step::KillTarget(pick) => self.kill(pick),
-      Step::LeaveTarget(pick) => self.leave(pick, true),
+      Step::DrainTarget(pick) => self.set_leaving(pick, true),
       Step::OpenFlow(balancer, key) => self.open(balancer % BALANCERS, key),
-      Step::Packet(balancer, pick) => self.packet(balancer % BALANCERS, pick),
-      Step::ReplaceBalancer(one, peer) => {
-        if one % BALANCERS != peer % BALANCERS {
+      Step::SendPacket(balancer, pick) => self.send(balancer % BALANCERS, pick),
+      Step::RestartBalancer(balancer, peer) => {
+        if balancer % BALANCERS != peer % BALANCERS {
           self
             .world
-            .replace_balancer(one % BALANCERS, peer % BALANCERS);
+            .restart_balancer(balancer % BALANCERS, peer % BALANCERS);
         }
       }
-      Step::ReturnTarget(pick) => self.leave(pick, false),
-      Step::Suspect(balancer, pick) => {
+      Step::UndrainTarget(pick) => self.set_leaving(pick, false),
+      Step::SetSilent(balancer, pick) => {
         let targets = self.world.targets.keys().copied().collect::<Vec<_>>();
-        let wrong = targets[pick % targets.len()];
+        let target = targets[pick % targets.len()];
         self.world.balancers[balancer % BALANCERS]
           .silent
-          .insert(wrong);
+          .insert(target);
       }
-      Step::Trust(balancer) => self.world.balancers[balancer % BALANCERS].silent.clear(),
-      Step::Update(balancer) => self.world.update_balancer(balancer % BALANCERS),
+      Step::ClearSilent(balancer) => self.world.balancers[balancer % BALANCERS].silent.clear(),
+      Step::UpdateBalancer(balancer) => self.world.update_balancer(balancer % BALANCERS),
     }
   }
 
@@ -90,13 +90,16 @@
     if self.world.targets.len() >= 10 {
       return;
     }
-    self.next += 1;
-    self.world.targets.insert(self.next, target(self.next));
-    self.world.start_agent(self.next);
+    self.last_target += 1;
+    self
+      .world
+      .targets
+      .insert(self.last_target, target(self.last_target));
+    self.world.start_agent(self.last_target);
     self.world.publish();
   }
 
-  /// A target dies, and its flows with it: that breaks no flow but its own.
+  /// Kills a target; only its own flows are lost.
   fn kill(&mut self, pick: usize) {
     if self.world.targets.len() <= 3 {
       return;
@@ -111,7 +114,7 @@
     self.world.publish();
   }
 
-  fn leave(&mut self, pick: usize, leaving: bool) {
+  fn set_leaving(&mut self, pick: usize, leaving: bool) {
     let live = self
       .world
       .targets
@@ -130,18 +133,18 @@
 
   fn open(&mut self, balancer: usize, key: u64) {
     let flow = Flow::Keyed { key, opens: true };
-    match self.world.packet_until_taken(balancer, flow) {
+    match self.world.send_with_retries(balancer, flow) {
       Fate::Opened(at) => {
         let before = self.world.flows.insert(key, at);
         assert_eq!(before, None, "a flow was opened twice");
-        self.figures.opened += 1;
+        self.counts.opened += 1;
       }
       Fate::Delivered(at, _) => assert_eq!(self.world.flows.get(&key), Some(&at)),
-      Fate::Lost(_) | Fate::Refused(_) => self.figures.refused += 1,
+      Fate::Lost(_) | Fate::Refused(_) => self.counts.refused += 1,
     }
   }
 
-  fn packet(&mut self, balancer: usize, pick: usize) {
+  fn send(&mut self, balancer: usize, pick: usize) {
     let mut keys = self.world.flows.keys().copied().collect::<Vec<_>>();
     if keys.is_empty() {
       return;
@@ -150,16 +153,16 @@
     let key = keys[pick % keys.len()];
     let flow = Flow::Keyed { key, opens: false };
     let owner = self.world.flows[&key];
-    if self.world.knows_only_the_dead(balancer) {
-      // It has missed every change since: its callers' packets reach others when sent again.
-      self.figures.refused += 1;
+    if self.world.knows_only_dead_targets(balancer) {
+      // The balancer can't reach any target until its configuration is updated.
+      self.counts.refused += 1;
       return;
     }
-    match self.world.packet_until_taken(balancer, flow) {
-      Fate::Delivered(at, _) if at == owner => self.figures.delivered += 1,
-      Fate::Refused(Code::NotReady) => self.figures.refused += 1,
+    match self.world.send_with_retries(balancer, flow) {
+      Fate::Delivered(at, _) if at == owner => self.counts.delivered += 1,
+      Fate::Refused(Code::NotReady) => self.counts.refused += 1,
       fate => {
-        self.figures.broken += 1;
+        self.counts.broken += 1;
         let trace = &self.world.trace;
         panic!("packet of a flow at {owner} through balancer {balancer}: {fate:?}, {trace:#?}");
       }
@@ -169,11 +172,11 @@
 
 #[test]
 fn no_flow_breaks_in_a_long_random_run() {
-  let number = |name, otherwise: u64| {
+  let number = |name, default: u64| {
     env::var(name)
       .ok()
       .and_then(|text| text.parse().ok())
-      .unwrap_or(otherwise)
+      .unwrap_or(default)
   };
   let seed = number("FALLWELL_SEED", 1);
   let cases = number("FALLWELL_CASES", 64);
@@ -191,12 +194,12 @@
   let steps = prop::collection::vec(step(), 1..length as usize);
   let result = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
     let mut run = Run {
-      figures: Figures::default(),
-      next: 7,
+      counts: Counts::default(),
+      last_target: 7,
       world: World::new(7, BALANCERS),
     };
     for step in &steps {
-      run.take(step);
+      run.apply(step);
     }
     Ok(())
   });
--- a/tests/machines/results.rs
+++ b/tests/machines/results.rs
@@ -1,7 +1,7 @@
 use fallwell::Code;
 
 #[test]
-fn the_table_of_result_codes_is_the_codes() {
+fn documented_result_codes_match_the_code() {
   let table = include_str!("../../docs/RESULTS.md");
   let rows = table
     .lines()
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_number_leads_back_to_its_code() {
+fn every_number_converts_back_to_its_code() {
   for code in Code::ALL {
     assert_eq!(Code::from_number(code.number()), Some(*code));
   }
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -1,4 +1,4 @@
-//! A service's targets and the balancers before it, as machines that hand packets to each other.
+//! A simulated service: balancers and agents as state machines that forward packets to each other.
 
 use {
   fallwell::{
@@ -19,7 +19,7 @@
 
 pub const SERVICE: id::Service = id::Service(1);
 
-/// Nothing is known of loads.
+/// No target has reported a load.
 pub struct NoLoads;
 
 impl Loads for NoLoads {
@@ -85,7 +85,7 @@
   ))
 }
 
-/// One balancer's view.
+/// The configuration of a balancer, and the targets that it considers silent.
 #[derive(Clone, Default)]
 pub struct Balancer {
   pub silent: BTreeSet<u32>,
@@ -98,12 +98,12 @@
   pub store: Store,
 }
 
-/// What became of a packet.
+/// The result of sending a packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fate {
-  /// It reached the target that has its flow, after so many hops.
+  /// It reached the owner of its flow: the target, and the number of hops between agents.
   Delivered(u32, u32),
-  /// It opened its flow.
+  /// It opened its flow at this target.
   Opened(u32),
   /// It was sent to a dead target.
   Lost(u32),
@@ -114,13 +114,13 @@
 pub struct World {
   pub agents: BTreeMap<u32, Agent>,
   pub balancers: Vec<Balancer>,
-  /// Where each flow is.
+  /// The owner of each flow.
   pub flows: HashMap<u64, u32>,
   pub newest: Record,
   pub now: Instant,
   pub revision: u64,
   pub targets: BTreeMap<u32, config::Target>,
-  /// What became of the last packet, for the message of a failure.
+  /// The route and the actions of the last packet, for the message of a failure.
   pub trace: Vec<String>,
 }
 
@@ -174,8 +174,7 @@
     self.agents.insert(id, agent);
   }
 
-  /// Publishes the targets as they are wanted; agents hear of it at once, balancers when they are
-  /// told.
+  /// Publishes the current targets. Agents receive them at once, a balancer by `update_balancer`.
   pub fn publish(&mut self) {
     self.revision += 1;
     self.newest = record(self.revision, &service(self.targets.values().cloned()));
@@ -195,11 +194,11 @@
     let after = self.balancers[balancer]
       .store
       .in_force(Key::Service(SERVICE));
-    assert!(before <= after, "a balancer stepped back");
+    assert!(before <= after, "a balancer returned to an older revision");
   }
 
-  /// A balancer that has just started has its configuration from a peer.
-  pub fn replace_balancer(&mut self, balancer: usize, peer: usize) {
+  /// Restarts a balancer, which then gets its configuration from a peer.
+  pub fn restart_balancer(&mut self, balancer: usize, peer: usize) {
     let records = self.balancers[peer].store.records(Key::Service(SERVICE));
     let mut fresh = Balancer::default();
     for record in records {
@@ -208,8 +207,8 @@
     self.balancers[balancer] = fresh;
   }
 
-  /// Whether every target that a balancer has ever heard of is dead.
-  pub fn knows_only_the_dead(&self, balancer: usize) -> bool {
+  /// Whether every target in a balancer's configuration, with its history, is dead.
+  pub fn knows_only_dead_targets(&self, balancer: usize) -> bool {
     let view = &self.balancers[balancer];
     let table = table(&view.store, &view.silent);
     table.is_none_or(|table| {
@@ -218,11 +217,12 @@
     })
   }
 
-  /// Sends a packet, and again as a caller would after a loss, the dead being found silent.
-  pub fn packet_until_taken(&mut self, balancer: usize, flow: Flow) -> Fate {
+  /// Sends a packet and retransmits it while it is lost; after each loss, the balancer considers
+  /// the dead target silent.
+  pub fn send_with_retries(&mut self, balancer: usize, flow: Flow) -> Fate {
     let mut fate = Fate::Refused(Code::PacketUnroutable);
     for _ in 0..60 {
-      fate = self.packet(balancer, flow);
+      fate = self.send(balancer, flow);
       let Fate::Lost(dead) = fate else {
         break;
       };
@@ -231,8 +231,8 @@
     fate
   }
 
-  /// Sends one packet of a flow through one balancer.
-  pub fn packet(&mut self, balancer: usize, flow: Flow) -> Fate {
+  /// Sends a packet of a flow through a balancer.
+  pub fn send(&mut self, balancer: usize, flow: Flow) -> Fate {
     let view = &self.balancers[balancer];
     let Some(table) = table(&view.store, &view.silent) else {
       return Fate::Refused(Code::NotReady);
@@ -262,20 +262,21 @@
         search,
       } => {
         for copy in copies {
-          let fate = self.carry(carry(copy, Chain::new(), search));
+          let fate = self.forward(carry(copy, Chain::new(), search));
           if let Fate::Delivered(..) = fate {
             return fate;
           }
         }
-        self.carry(carry(first, chain, true))
+        self.forward(carry(first, chain, true))
       }
-      Route::Named(hop) | Route::Relay(hop) => self.carry(carry(hop, Chain::new(), false)),
+      Route::Named(hop) | Route::Relay(hop) => self.forward(carry(hop, Chain::new(), false)),
     }
   }
 
-  fn carry(&mut self, mut carry: Carry) -> Fate {
+  /// Forwards a packet from agent to agent until one delivers, opens or drops it.
+  fn forward(&mut self, mut carry: Carry) -> Fate {
     let mut hops = 0;
-    let mut passed_by = None;
+    let mut forwarded_by = None;
     loop {
       let id = carry.target.0;
       let Some(agent) = self.agents.get_mut(&id).filter(|agent| agent.alive) else {
@@ -291,16 +292,16 @@
       self.trace.push(format!("{id}: {action:?}"));
       match action.expect("an action") {
         Action::Deliver => {
-          self.tell_found(passed_by, &carry);
+          self.send_found(forwarded_by, &carry);
           return Fate::Delivered(id, hops);
         }
         Action::Open => {
-          self.tell_found(passed_by, &carry);
+          self.send_found(forwarded_by, &carry);
           return Fate::Opened(id);
         }
         Action::Pass(pass) => {
           hops += 1;
-          passed_by = Some(id);
+          forwarded_by = Some(id);
           carry = Carry {
             chain: pass.chain,
             hops: carry.hops + 1,
@@ -318,6 +319,7 @@
     }
   }
 
+  /// Sends copies to other agents, one after the other, until the owner of the flow accepts one.
   fn search(&mut self, from: u32, carry: &Carry, others: Vec<Hop>) -> Fate {
     for to in others {
       let copy = Carry {
@@ -327,19 +329,20 @@
         whole: false,
         ..carry.clone()
       };
-      if let Fate::Delivered(at, hops) = self.carry(copy.clone()) {
-        self.tell_found(Some(from), &copy);
+      if let Fate::Delivered(at, hops) = self.forward(copy.clone()) {
+        self.send_found(Some(from), &copy);
         return Fate::Delivered(at, hops + 1);
       }
     }
     Fate::Refused(Code::FlowUnknown)
   }
 
-  fn tell_found(&mut self, passed_by: Option<u32>, carry: &Carry) {
+  /// Confirms to the agent that forwarded a packet that its target owns the flow.
+  fn send_found(&mut self, forwarded_by: Option<u32>, carry: &Carry) {
     let Flow::Keyed { key, .. } = carry.flow else {
       return;
     };
-    let Some(agent) = passed_by.and_then(|id| self.agents.get_mut(&id)) else {
+    let Some(agent) = forwarded_by.and_then(|id| self.agents.get_mut(&id)) else {
       return;
     };
     let event = Event::Found {
