--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -190,11 +190,11 @@
     let Some(table) = table else {
       return Action::Refuse(Code::NotReady);
     };
-    if let Some(pass) = self.pass_to_cached(now, table, key, carry) {
-      return Action::Pass(pass);
+    if let Some(forward) = self.forward_to_cached(now, table, key, carry) {
+      return Action::Pass(forward);
     }
-    if let Some(pass) = self.pass_along_chain(table, carry) {
-      return Action::Pass(pass);
+    if let Some(forward) = self.forward_along_chain(table, carry) {
+      return Action::Pass(forward);
     }
     if opens {
       return self.open_or_redirect(now, table, key, carry, flows);
@@ -203,7 +203,7 @@
   }
 
   /// Forwards to the target that confirmed the flow or that it was redirected to, if one is cached.
-  fn pass_to_cached(
+  fn forward_to_cached(
     &mut self,
     now: Instant,
     table: &Table,
@@ -228,7 +228,7 @@
   }
 
   /// Forwards to the next target of the chain that is in the table.
-  fn pass_along_chain(&self, table: &Table, carry: &Carry) -> Option<Pass> {
+  fn forward_along_chain(&self, table: &Table, carry: &Carry) -> Option<Pass> {
     let mut rest = carry.chain.iter();
     let to = rest.find_map(|target| {
       if *target == self.target {
--- a/src/ledger/machine.rs
+++ b/src/ledger/machine.rs
@@ -97,7 +97,7 @@
   memory: usize,
   /// Keys with a time of their last use, for expiry; may contain a key more than once.
   expiry_queue: VecDeque<(Instant, u128)>,
-  ran: u64,
+  run_count: u64,
   settings: Settings,
 }
 
@@ -108,7 +108,7 @@
       entries: HashMap::new(),
       memory: 0,
       expiry_queue: VecDeque::new(),
-      ran: 0,
+      run_count: 0,
       settings,
     }
   }
@@ -120,7 +120,7 @@
 
   /// How many requests were allowed to run since the start.
   pub fn run_count(&self) -> u64 {
-    self.ran
+    self.run_count
   }
 
   /// Whether the key is remembered, so that its previous homes need not be queried. Expires old
@@ -195,7 +195,7 @@
       return Action::NotRun(Code::RequestLedgerFull);
     }
     self.insert(now, key, fingerprint, State::Running);
-    self.ran += 1;
+    self.run_count += 1;
     Action::Run
   }
 
