--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -33,8 +33,8 @@
 /// How often the state is published and the age of target sets is checked.
 const DUMP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opening packets are also routed by the target sets that were replaced less than this ago: a flow
-/// may have been opened by one of them, and its caller may still send opening packets.
+/// Opening packets are also routed by target sets that were replaced less than this ago: a target
+/// of such a set may own the flow already, and the packet be a retransmission.
 const OPENING_WINDOW: Duration = Duration::from_mins(1);
 
 /// Builds the workers' routing tables from the configuration and from the targets' health, which it
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -299,15 +299,15 @@
           self.send_found(forwarded_by, &carry);
           return Fate::Opened(id);
         }
-        Action::Pass(pass) => {
+        Action::Pass(forward) => {
           hops += 1;
           forwarded_by = Some(id);
           carry = Carry {
-            chain: pass.chain,
+            chain: forward.chain,
             hops: carry.hops + 1,
-            redirects: pass.redirects,
-            target: pass.to.target,
-            whole: pass.whole,
+            redirects: forward.redirects,
+            target: forward.to.target,
+            whole: forward.whole,
             ..carry
           };
         }
