--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -96,7 +96,7 @@
     }],
   };
   let table = fallwell::routing::Table::new(Revision(1), &service, &[], 1, |_| {
-    fallwell::routing::Standing::Live
+    fallwell::routing::Health::Live
   });
   let own = || {
     let status = std::fs::read_to_string("/proc/self/status").expect("status");
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -3,7 +3,7 @@
 use {
   fallwell::{
     Revision, config, id,
-    routing::{Loads, Machine, Standing, Table},
+    routing::{Health, Loads, Machine, Table},
     wire::{Cid, Flow, Tagger},
   },
   std::{collections::HashMap, hint::black_box, net::SocketAddr, time::Instant},
@@ -38,7 +38,7 @@
     routes: Vec::new(),
     targets: targets.collect(),
   };
-  Table::new(Revision(1), &service, &[], 1, |_| Standing::Live)
+  Table::new(Revision(1), &service, &[], 1, |_| Health::Live)
 }
 
 fn tagger() -> Tagger {
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -7,7 +7,7 @@
     flow::{self, Action, Event, Machine, Pass},
     net::{Batch, Outbox},
     peer::{Node, View},
-    routing::{Standing, Table},
+    routing::{Health, Table},
     state::Registry,
     supervisor::Stop,
     wire::{Carry, Echo, Flow, Found, Frame, HEADER_MAX, Probe, Refusal, Tagger},
@@ -394,9 +394,9 @@
         usize::MAX,
         |target| {
           if target.leaving {
-            Standing::Leaving
+            Health::Leaving
           } else {
-            Standing::Live
+            Health::Live
           }
         },
       ))
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -1,5 +1,5 @@
 use {
-  crate::{Code, id, rate, routing::Standing},
+  crate::{Code, id, rate, routing::Health},
   std::{
     collections::{BTreeSet, HashMap},
     net::SocketAddr,
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
   /// Rebuild the routing tables: the health of the target changed.
-  Changed(Member, Standing),
+  Changed(Member, Health),
   /// Send a liveness probe to the target.
   Probe {
     /// The address of the target's agent.
@@ -83,7 +83,7 @@
   leaving_reported: Option<Instant>,
   last_probe: Option<Instant>,
   last_sent: Option<Instant>,
-  standing: Standing,
+  standing: Health,
   unanswered: u32,
 }
 
@@ -125,19 +125,19 @@
   }
 
   /// The health of a target; live if it isn't in the configuration.
-  pub fn standing(&self, member: Member) -> Standing {
+  pub fn standing(&self, member: Member) -> Health {
     self
       .members
       .get(&member)
-      .map_or(Standing::Live, |state| state.standing)
+      .map_or(Health::Live, |state| state.standing)
   }
 
   /// Every target that is not live, sorted by service and target.
-  pub fn avoided(&self) -> Vec<(Member, Standing)> {
+  pub fn avoided(&self) -> Vec<(Member, Health)> {
     let mut avoided = self
       .members
       .iter()
-      .filter(|(_, state)| state.standing != Standing::Live)
+      .filter(|(_, state)| state.standing != Health::Live)
       .map(|(member, state)| (*member, state.standing))
       .collect::<Vec<_>>();
     avoided.sort_by_key(|(member, _)| *member);
@@ -260,7 +260,7 @@
       leaving_reported: None,
       last_probe: None,
       last_sent: None,
-      standing: Standing::Live,
+      standing: Health::Live,
       unanswered: 0,
     }
   }
@@ -278,11 +278,11 @@
     .is_some_and(|reported| now.duration_since(reported) < settings.leaving_ttl);
   let silent = state.unanswered > settings.unanswered_max;
   let standing = if silent {
-    Standing::Silent
+    Health::Silent
   } else if state.leaving_configured || leaving_reported {
-    Standing::Leaving
+    Health::Leaving
   } else {
-    Standing::Live
+    Health::Live
   };
   if standing == state.standing {
     return None;
@@ -296,7 +296,7 @@
   let sent = state
     .last_sent
     .is_some_and(|last_sent| now.duration_since(last_sent) < settings.probe_after * 4);
-  sent || state.standing != Standing::Live
+  sent || state.standing != Health::Live
 }
 
 /// Whether a target is to be probed: it is silent, or packets are sent to it and no frame arrives
@@ -313,7 +313,7 @@
       return false;
     }
   }
-  if state.standing == Standing::Silent {
+  if state.standing == Health::Silent {
     return true;
   }
   let quiet = age(state.last_heard).is_none_or(|age| age >= settings.probe_after);
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,15 +1,15 @@
 //! Chooses the targets of a packet, and the balancer that sends an answer to its caller.
 
+mod health;
 mod machine;
 mod path;
 mod rank;
-mod standing;
 mod table;
 
 pub use {
+  health::Health,
   machine::{Hop, Loads, Machine, Route},
   path::Path,
   rank::Rank,
-  standing::Standing,
   table::{Entry, Table},
 };
--- a/src/routing/standing.rs
+++ b/src/routing/health.rs
@@ -4,7 +4,7 @@
 /// their target whatever its health is.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum Health {
   /// It is draining: it keeps its flows and opens no new ones.
   Leaving,
   /// It is available for new flows.
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Rank, Standing},
+  super::{Health, Rank},
   crate::{Revision, config, id},
   std::{
     collections::{BTreeSet, HashMap},
@@ -17,7 +17,7 @@
   /// Unique within the service.
   pub id: id::Target,
   /// Its health, by which new flows are placed.
-  pub standing: Standing,
+  pub standing: Health,
   pub(super) rank: Rank,
 }
 
@@ -47,7 +47,7 @@
     service: &config::Service,
     history: &[config::Set],
     recent: usize,
-    standing: impl Fn(&config::Target) -> Standing,
+    standing: impl Fn(&config::Target) -> Health,
   ) -> Self {
     let mut table = Self {
       by_id: HashMap::new(),
@@ -62,18 +62,14 @@
     for set in history {
       table.revisions.push(set.revision);
       table.add_set(&set.targets, |target| match standing(target) {
-        Standing::Silent => Standing::Silent,
-        _ => Standing::Leaving,
+        Health::Silent => Health::Silent,
+        _ => Health::Leaving,
       });
     }
     table
   }
 
-  fn add_set(
-    &mut self,
-    targets: &[config::Target],
-    standing: impl Fn(&config::Target) -> Standing,
-  ) {
+  fn add_set(&mut self, targets: &[config::Target], standing: impl Fn(&config::Target) -> Health) {
     let mut set = Vec::with_capacity(targets.len());
     for target in targets {
       let next = self.entries.len() as u16;
--- a/tests/machines/flow.rs
+++ b/tests/machines/flow.rs
@@ -5,7 +5,7 @@
     Code, Revision,
     flow::{Action, Event, Machine, Settings},
     id,
-    routing::{Standing, Table},
+    routing::{Health, Table},
     wire::{Carry, Chain, Flow},
   },
   std::{net::SocketAddr, time::Instant},
@@ -32,7 +32,7 @@
 
 fn table() -> Table {
   let service = service([target(1), target(2)]);
-  Table::new(Revision(1), &service, &[], 1, |_| Standing::Live)
+  Table::new(Revision(1), &service, &[], 1, |_| Health::Live)
 }
 
 fn step(machine: &mut Machine, carry: &Carry, flows: u32) -> Action {
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -5,7 +5,7 @@
     Code, Revision,
     config::Set,
     id,
-    routing::{Loads, Machine, Path, Route, Standing, Table},
+    routing::{Health, Loads, Machine, Path, Route, Table},
     wire::Flow,
   },
   rand::{SeedableRng, rngs::SmallRng},
@@ -16,7 +16,7 @@
   },
 };
 
-fn table(targets: u32, standing: impl Fn(u32) -> Standing) -> Table {
+fn table(targets: u32, standing: impl Fn(u32) -> Health) -> Table {
   let service = service((1..=targets).map(target));
   Table::new(Revision(1), &service, &[], 1, |target| {
     standing(target.id.0)
@@ -35,7 +35,7 @@
 
 #[test]
 fn new_flows_are_distributed_evenly() {
-  let table = table(7, |_| Standing::Live);
+  let table = table(7, |_| Health::Live);
   let mut counts: HashMap<u32, u32> = HashMap::new();
   for key in 0..7000 {
     let route = Machine::step(&table, opening(key), &NoLoads).unwrap();
@@ -56,7 +56,7 @@
       if target.0 == 1 { 255 } else { 10 }
     }
   }
-  let table = table(7, |_| Standing::Live);
+  let table = table(7, |_| Health::Live);
   for key in 0..1000 {
     let route = Machine::step(&table, opening(key), &FirstIsFull).unwrap();
     assert_ne!(last(route), 1);
@@ -67,9 +67,9 @@
 fn leaving_target_is_in_chains_but_opens_no_flow() {
   let table = table(3, |id| {
     if id == 1 {
-      Standing::Leaving
+      Health::Leaving
     } else {
-      Standing::Live
+      Health::Live
     }
   });
   let mut included = 0;
@@ -87,9 +87,9 @@
 fn silent_target_gets_copies_and_is_in_no_chain() {
   let table = table(4, |id| {
     if id == 1 {
-      Standing::Silent
+      Health::Silent
     } else {
-      Standing::Live
+      Health::Live
     }
   });
   let mut copies_seen = 0;
@@ -109,9 +109,9 @@
 fn new_flows_avoid_silent_targets_even_if_half_are_silent() {
   let table = table(4, |id| {
     if id <= 2 {
-      Standing::Silent
+      Health::Silent
     } else {
-      Standing::Live
+      Health::Live
     }
   });
   for key in 0..1000 {
@@ -121,7 +121,7 @@
 
 #[test]
 fn opening_packet_is_routed_when_all_targets_are_silent() {
-  let table = table(4, |_| Standing::Silent);
+  let table = table(4, |_| Health::Silent);
   for key in 0..100 {
     assert!(last(Machine::step(&table, opening(key), &NoLoads).unwrap()) > 0);
   }
@@ -129,7 +129,7 @@
 
 #[test]
 fn packet_naming_an_unknown_target_is_relayed() {
-  let table = table(2, |_| Standing::Live);
+  let table = table(2, |_| Health::Live);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(99),
@@ -144,7 +144,7 @@
     targets: vec![target(9)],
   }];
   let service = service([target(1)]);
-  let table = Table::new(Revision(2), &service, &history, 1, |_| Standing::Live);
+  let table = Table::new(Revision(2), &service, &history, 1, |_| Health::Live);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(9),
@@ -157,7 +157,7 @@
 
 #[test]
 fn relay_without_a_live_target_is_unroutable() {
-  let table = table(2, |_| Standing::Leaving);
+  let table = table(2, |_| Health::Leaving);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(99),
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -6,7 +6,7 @@
     config::{self, Key, Record, Store, Verdict},
     flow::{self, Action, Event},
     id,
-    routing::{self, Hop, Loads, Route, Standing, Table},
+    routing::{self, Health, Hop, Loads, Route, Table},
     wire::{Carry, Chain, Flow},
   },
   serde_json::json,
@@ -69,11 +69,11 @@
   let revision = store.in_force(Key::Service(SERVICE))?;
   let standing = |target: &config::Target| {
     if silent.contains(&target.id.0) {
-      Standing::Silent
+      Health::Silent
     } else if target.leaving {
-      Standing::Leaving
+      Health::Leaving
     } else {
-      Standing::Live
+      Health::Live
     }
   };
   Some(Table::new(
