--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -246,8 +246,8 @@
   fn step_membership(&mut self, now: Instant, event: Event) {
     for action in self.membership.step(now, event) {
       match action {
-        Action::Changed((service, target), standing) => {
-          log::info!("membership: target {target} of service {service} is now {standing:?}.");
+        Action::Changed((service, target), health) => {
+          log::info!("membership: target {target} of service {service} is now {health:?}.");
           self.rebuild(now, Some(service));
         }
         Action::Probe {
@@ -288,13 +288,13 @@
         continue;
       }
       let recent = self.recent_sets(now, in_force);
-      let standing = |target: &config::Target| self.membership.standing((service.id, target.id));
+      let health = |target: &config::Target| self.membership.health((service.id, target.id));
       let table = Table::new(
         in_force.revision,
         service,
         &in_force.history,
         recent,
-        standing,
+        health,
       );
       self
         .snapshot
@@ -336,8 +336,8 @@
       .membership
       .avoided()
       .into_iter()
-      .map(|((service, target), standing)| {
-        json!({ "service": service, "standing": standing, "target": target })
+      .map(|((service, target), health)| {
+        json!({ "service": service, "standing": health, "target": target })
       });
     self.registry.set(
       "path",
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -83,7 +83,7 @@
   leaving_reported: Option<Instant>,
   last_probe: Option<Instant>,
   last_sent: Option<Instant>,
-  standing: Health,
+  health: Health,
   unanswered: u32,
 }
 
@@ -125,11 +125,11 @@
   }
 
   /// The health of a target; live if it isn't in the configuration.
-  pub fn standing(&self, member: Member) -> Health {
+  pub fn health(&self, member: Member) -> Health {
     self
       .members
       .get(&member)
-      .map_or(Health::Live, |state| state.standing)
+      .map_or(Health::Live, |state| state.health)
   }
 
   /// Every target that is not live, sorted by service and target.
@@ -137,8 +137,8 @@
     let mut avoided = self
       .members
       .iter()
-      .filter(|(_, state)| state.standing != Health::Live)
-      .map(|(member, state)| (*member, state.standing))
+      .filter(|(_, state)| state.health != Health::Live)
+      .map(|(member, state)| (*member, state.health))
       .collect::<Vec<_>>();
     avoided.sort_by_key(|(member, _)| *member);
     avoided
@@ -260,7 +260,7 @@
       leaving_reported: None,
       last_probe: None,
       last_sent: None,
-      standing: Health::Live,
+      health: Health::Live,
       unanswered: 0,
     }
   }
@@ -277,18 +277,18 @@
     .leaving_reported
     .is_some_and(|reported| now.duration_since(reported) < settings.leaving_ttl);
   let silent = state.unanswered > settings.unanswered_max;
-  let standing = if silent {
+  let health = if silent {
     Health::Silent
   } else if state.leaving_configured || leaving_reported {
     Health::Leaving
   } else {
     Health::Live
   };
-  if standing == state.standing {
+  if health == state.health {
     return None;
   }
-  state.standing = standing;
-  Some(Action::Changed(member, standing))
+  state.health = health;
+  Some(Action::Changed(member, health))
 }
 
 /// Whether a tick has to process a target: it was sent a packet recently, or isn't live.
@@ -296,7 +296,7 @@
   let sent = state
     .last_sent
     .is_some_and(|last_sent| now.duration_since(last_sent) < settings.probe_after * 4);
-  sent || state.standing != Health::Live
+  sent || state.health != Health::Live
 }
 
 /// Whether a target is to be probed: it is silent, or packets are sent to it and no frame arrives
@@ -313,7 +313,7 @@
       return false;
     }
   }
-  if state.standing == Health::Silent {
+  if state.health == Health::Silent {
     return true;
   }
   let quiet = age(state.last_heard).is_none_or(|age| age >= settings.probe_after);
--- a/src/routing/machine.rs
+++ b/src/routing/machine.rs
@@ -78,7 +78,7 @@
   pub fn alternative(table: &Table, key: u64, except: &[id::Target]) -> Option<Hop> {
     table
       .current()
-      .filter(|entry| entry.standing == Health::Live && !except.contains(&entry.id))
+      .filter(|entry| entry.health == Health::Live && !except.contains(&entry.id))
       .max_by_key(|entry| entry.rank.score(key))
       .map(Hop::from)
   }
@@ -95,11 +95,11 @@
   fn route_keyed(table: &Table, key: u64, opens: bool, loads: &impl Loads) -> Result<Route, Code> {
     let scores = Scores::new(table, key);
     let current = &table.sets(true)[0];
-    let live = scores.candidates(table, current, |entry| entry.standing == Health::Live);
+    let live = scores.candidates(table, current, |entry| entry.health == Health::Live);
     let mut last = Self::least_loaded(table, &live, loads);
     if last.is_none() && opens {
       // No target is live. The silent ones may be cut off only from this process: try the best.
-      let silent = |entry: &Entry| entry.standing == Health::Silent;
+      let silent = |entry: &Entry| entry.health == Health::Silent;
       last = scores.candidates(table, current, silent).first().copied();
     }
     let mut chain = Indices::new();
@@ -139,7 +139,7 @@
   /// Adds a candidate to `copies` if it is silent, since a dead target would end the chain, and to
   /// `chain` otherwise.
   fn add_candidate(table: &Table, index: u16, chain: &mut Indices, copies: &mut Indices) {
-    let silent = table.entry(index).standing == Health::Silent;
+    let silent = table.entry(index).health == Health::Silent;
     let list = if silent { copies } else { chain };
     if !list.contains(&index) {
       list.push(index);
@@ -178,7 +178,7 @@
   fn best_responsive(&self, table: &Table) -> Option<u16> {
     let entries = table.entries().iter().zip(0..);
     entries
-      .filter(|(entry, _)| entry.standing != Health::Silent)
+      .filter(|(entry, _)| entry.health != Health::Silent)
       .map(|(_, index)| index)
       .max_by_key(|index: &u16| self.0[usize::from(*index)])
   }
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -17,7 +17,7 @@
   /// Unique within the service.
   pub id: id::Target,
   /// Its health, by which new flows are placed.
-  pub standing: Health,
+  pub health: Health,
   pub(super) rank: Rank,
 }
 
@@ -47,7 +47,7 @@
     service: &config::Service,
     history: &[config::Set],
     recent: usize,
-    standing: impl Fn(&config::Target) -> Health,
+    health: impl Fn(&config::Target) -> Health,
   ) -> Self {
     let mut table = Self {
       by_id: HashMap::new(),
@@ -58,10 +58,10 @@
       service: service.id,
       sets: Vec::new(),
     };
-    table.add_set(&service.targets, &standing);
+    table.add_set(&service.targets, &health);
     for set in history {
       table.revisions.push(set.revision);
-      table.add_set(&set.targets, |target| match standing(target) {
+      table.add_set(&set.targets, |target| match health(target) {
         Health::Silent => Health::Silent,
         _ => Health::Leaving,
       });
@@ -69,7 +69,7 @@
     table
   }
 
-  fn add_set(&mut self, targets: &[config::Target], standing: impl Fn(&config::Target) -> Health) {
+  fn add_set(&mut self, targets: &[config::Target], health: impl Fn(&config::Target) -> Health) {
     let mut set = Vec::with_capacity(targets.len());
     for target in targets {
       let next = self.entries.len() as u16;
@@ -80,7 +80,7 @@
           connections: target.connections,
           id: target.id,
           rank: Rank::new(self.service, target.id),
-          standing: standing(target),
+          health: health(target),
         });
       }
       set.push(index);
--- a/tests/machines/membership.rs
+++ b/tests/machines/membership.rs
@@ -41,7 +41,7 @@
   let mut now = Instant::now();
   machine.step(now, listed(false));
   run_ticks(&mut machine, &mut now, 20);
-  assert_eq!(machine.standing(MEMBER), Health::Silent);
+  assert_eq!(machine.health(MEMBER), Health::Silent);
 }
 
 #[test]
@@ -51,7 +51,7 @@
   machine.step(now, listed(false));
   run_ticks(&mut machine, &mut now, 20);
   machine.step(now, Event::Heard(MEMBER));
-  assert_eq!(machine.standing(MEMBER), Health::Live);
+  assert_eq!(machine.health(MEMBER), Health::Live);
 }
 
 #[test]
@@ -82,10 +82,10 @@
   let mut now = Instant::now();
   machine.step(now, listed(false));
   machine.step(now, Event::Refused(MEMBER, Code::TargetLeaving));
-  assert_eq!(machine.standing(MEMBER), Health::Leaving);
+  assert_eq!(machine.health(MEMBER), Health::Leaving);
   now += Duration::from_secs(31);
   machine.step(now, Event::Heard(MEMBER));
-  assert_eq!(machine.standing(MEMBER), Health::Live);
+  assert_eq!(machine.health(MEMBER), Health::Live);
 }
 
 #[test]
@@ -104,7 +104,7 @@
   let mut now = Instant::now();
   machine.step(now, listed(true));
   run_ticks(&mut machine, &mut now, 20);
-  assert_eq!(machine.standing(MEMBER), Health::Silent);
+  assert_eq!(machine.health(MEMBER), Health::Silent);
 }
 
 #[test]
@@ -116,7 +116,7 @@
   run_ticks(&mut machine, &mut now, 10);
   now += Duration::from_secs(10);
   machine.step(now, Event::Tick);
-  assert_eq!(machine.standing(MEMBER), Health::Live);
+  assert_eq!(machine.health(MEMBER), Health::Live);
 }
 
 #[test]
@@ -126,7 +126,7 @@
   machine.step(now, listed(false));
   run_ticks(&mut machine, &mut now, 20);
   machine.step(now, Event::Listed(vec![(MEMBER, address(2), false)]));
-  assert_eq!(machine.standing(MEMBER), Health::Live);
+  assert_eq!(machine.health(MEMBER), Health::Live);
 }
 
 #[test]
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -16,11 +16,9 @@
   },
 };
 
-fn table(targets: u32, standing: impl Fn(u32) -> Health) -> Table {
+fn table(targets: u32, health: impl Fn(u32) -> Health) -> Table {
   let service = service((1..=targets).map(target));
-  Table::new(Revision(1), &service, &[], 1, |target| {
-    standing(target.id.0)
-  })
+  Table::new(Revision(1), &service, &[], 1, |target| health(target.id.0))
 }
 
 fn last(route: Route) -> u32 {
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -67,7 +67,7 @@
 pub fn table(store: &Store, silent: &BTreeSet<u32>) -> Option<Table> {
   let service = store.service(SERVICE)?;
   let revision = store.in_force(Key::Service(SERVICE))?;
-  let standing = |target: &config::Target| {
+  let health = |target: &config::Target| {
     if silent.contains(&target.id.0) {
       Health::Silent
     } else if target.leaving {
@@ -81,7 +81,7 @@
     service,
     store.history(SERVICE),
     usize::MAX,
-    standing,
+    health,
   ))
 }
 
