--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -120,7 +120,7 @@
       revision: Revision(1),
       service: id::Service(1),
       target: id::Target(1),
-      whole: true,
+      may_open: true,
     };
     let event = flow::Event::Carry {
       carry: &carry,
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -243,7 +243,7 @@
       revision: self.revision(),
       service: carry.service,
       target: pass.to.target,
-      whole: pass.whole,
+      may_open: pass.may_open,
     });
     let mut header = [0; HEADER_MAX];
     match frame.encode(packet.len(), tagger, &mut header) {
--- a/src/balancer/worker.rs
+++ b/src/balancer/worker.rs
@@ -194,7 +194,7 @@
     outbox: &mut Outbox<'a>,
   ) -> Result<(), Code> {
     let flow = classify(table.service(), packet, tagger)?;
-    let carry = |hop: routing::Hop, chain, whole| Carry {
+    let carry = |hop: routing::Hop, chain, may_open| Carry {
       balancer: None,
       caller,
       chain,
@@ -204,7 +204,7 @@
       revision: table.revision(),
       service: table.service(),
       target: hop.target,
-      whole,
+      may_open,
     };
     match routing::Machine::step(table, flow, &self.observations)? {
       Route::Chain {
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -143,7 +143,7 @@
   fn enforce_invariants(&self, carry: &Carry, action: Action) -> Action {
     let accepts = matches!(action, Action::Deliver | Action::Open | Action::Reset);
     let is_addressee = carry.service == self.service && carry.target == self.target;
-    let allowed = !self.leaving && carry.whole;
+    let allowed = !self.leaving && carry.may_open;
     let valid = (!accepts || is_addressee) && (action != Action::Open || allowed);
     debug_assert!(valid, "{action:?} of {carry:?} at target {}", self.target);
     if valid {
@@ -184,7 +184,7 @@
       *last_packet = now;
       return Action::Deliver;
     }
-    if !carry.whole && carry.chain.is_empty() {
+    if !carry.may_open && carry.chain.is_empty() {
       return Action::Skip;
     }
     let Some(table) = table else {
@@ -250,7 +250,7 @@
   ) -> Action {
     let code = if self.leaving {
       Code::TargetLeaving
-    } else if !carry.whole {
+    } else if !carry.may_open {
       return Action::Skip;
     } else if flows >= self.flows_max(table) || !self.has_room(now) {
       Code::TargetFull
@@ -268,7 +268,7 @@
     self.cache_target(now, key, to.target);
     Action::Pass(Pass {
       redirects: carry.redirects + 1,
-      whole: carry.whole,
+      may_open: carry.may_open,
       ..Pass::to(to)
     })
   }
--- a/src/flow/pass.rs
+++ b/src/flow/pass.rs
@@ -13,7 +13,7 @@
   /// The next target.
   pub to: Hop,
   /// Whether the last target of the chain may open the flow.
-  pub whole: bool,
+  pub may_open: bool,
 }
 
 impl Pass {
@@ -23,7 +23,7 @@
       chain: Chain::new(),
       redirects: 0,
       to,
-      whole: false,
+      may_open: false,
     }
   }
 
@@ -33,7 +33,7 @@
       chain,
       redirects: carry.redirects,
       to,
-      whole: carry.whole,
+      may_open: carry.may_open,
     }
   }
 }
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -58,7 +58,7 @@
   /// The target that this frame is for.
   pub target: id::Target,
   /// Whether the last target may open the flow when no other one has it.
-  pub whole: bool,
+  pub may_open: bool,
 }
 
 /// An answer to a probe.
--- a/tests/machines/flow.rs
+++ b/tests/machines/flow.rs
@@ -22,7 +22,7 @@
     revision: Revision(1),
     service: SERVICE,
     target: id::Target(1),
-    whole: true,
+    may_open: true,
   }
 }
 
@@ -137,7 +137,7 @@
     key: 1,
     opens: true,
   });
-  frame.whole = false;
+  frame.may_open = false;
   let action = step(&mut machine(Settings::default()), &frame, 0);
   assert_eq!(action, Action::Skip);
 }
--- a/tests/machines/wire.rs
+++ b/tests/machines/wire.rs
@@ -36,7 +36,7 @@
     revision: Revision(u64::MAX),
     service: id::Service(u16::MAX),
     target: id::Target(u32::MAX),
-    whole: true,
+    may_open: true,
   })
 }
 
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -241,7 +241,7 @@
       Ok(route) => route,
       Err(code) => return Fate::Refused(code),
     };
-    let carry = |hop: Hop, chain, whole| Carry {
+    let carry = |hop: Hop, chain, may_open| Carry {
       balancer: None,
       caller: SocketAddr::from(([127, 0, 0, 1], 9)),
       chain,
@@ -251,7 +251,7 @@
       revision: table.revision(),
       service: SERVICE,
       target: hop.target,
-      whole,
+      may_open,
     };
     self.trace = vec![format!("{route:?}")];
     match route {
@@ -307,7 +307,7 @@
             hops: carry.hops + 1,
             redirects: forward.redirects,
             target: forward.to.target,
-            whole: forward.whole,
+            may_open: forward.may_open,
             ..carry
           };
         }
@@ -326,7 +326,7 @@
         chain: Chain::new(),
         hops: carry.hops + 1,
         target: to.target,
-        whole: false,
+        may_open: false,
         ..carry.clone()
       };
       if let Fate::Delivered(at, hops) = self.forward(copy.clone()) {
