--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -145,7 +145,7 @@
           self.carry(now, &tagger, from, &carry, packet, &mut outbox);
         }
         Ok((Frame::Echo(echo), _)) => {
-          self.shared.path().heard(now, from);
+          self.shared.path().note_heard(now, from);
           self.compare(echo.revision);
         }
         Ok((Frame::Found(found), _)) => {
--- a/src/balancer/observations.rs
+++ b/src/balancer/observations.rs
@@ -19,7 +19,7 @@
 
 impl Observations {
   /// Records a frame from a target and the load that it reports.
-  pub fn heard(&mut self, member: Member, load: u8) {
+  pub fn note_heard(&mut self, member: Member, load: u8) {
     let observed = self.observed.entry(member).or_default();
     observed.heard = true;
     observed.load = load;
--- a/src/balancer/worker.rs
+++ b/src/balancer/worker.rs
@@ -263,7 +263,9 @@
         }
         Ok((Frame::Echo(echo), _)) => {
           if let Some(target) = echo.target {
-            self.observations.heard((echo.service, target), echo.load);
+            self
+              .observations
+              .note_heard((echo.service, target), echo.load);
           }
         }
         Ok((Frame::Probe(probe), _)) => self.answer_probe(&snapshot, tagger, from, &probe),
@@ -301,7 +303,7 @@
     self.report.packets_out += 1;
     self
       .observations
-      .heard((frame.service, frame.target), frame.load);
+      .note_heard((frame.service, frame.target), frame.load);
     let outbox = answers.entry(frame.service).or_default();
     outbox.push(frame.caller, [0; HEADER_MAX], 0, packet);
   }
--- a/src/routing/path.rs
+++ b/src/routing/path.rs
@@ -44,7 +44,7 @@
   /// from here.
   pub fn carried(&mut self, now: Instant, caller: SocketAddr, balancer: SocketAddr, direct: bool) {
     if direct {
-      self.heard(now, balancer);
+      self.note_heard(now, balancer);
     }
     if self.callers.len() < CALLERS_MAX || self.callers.contains_key(&caller) {
       self.callers.insert(caller, (balancer, now));
@@ -71,7 +71,7 @@
   }
 
   /// Records a frame from a balancer as a sign of life.
-  pub fn heard(&mut self, now: Instant, balancer: SocketAddr) {
+  pub fn note_heard(&mut self, now: Instant, balancer: SocketAddr) {
     self
       .balancers
       .entry(balancer)
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -176,10 +176,10 @@
   let start = Instant::now();
   path.list(start, &[first, second]);
   path.carried(start, caller, first, true);
-  path.heard(start, second);
+  path.note_heard(start, second);
   assert_eq!(path.choose(start, caller, &mut rng), Some(first));
   let later = start + Duration::from_secs(3);
-  path.heard(later, second);
+  path.note_heard(later, second);
   assert_eq!(path.choose(later, caller, &mut rng), Some(second));
 }
 
@@ -193,7 +193,7 @@
   let mut path = Path::default();
   let start = Instant::now();
   path.list(start, &[first, second]);
-  path.heard(start, first);
+  path.note_heard(start, first);
   path.carried(start, caller, second, false);
   assert_eq!(path.choose(start, caller, &mut rng), Some(first));
 }
@@ -206,7 +206,7 @@
   let mut probes = 0;
   for tick in 0..100 {
     let now = start + Duration::from_millis(50 * tick);
-    path.heard(now, balancer(2));
+    path.note_heard(now, balancer(2));
     probes += path.quiet(now).len();
   }
   assert_eq!(probes, 5);
