--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -199,7 +199,7 @@
         self
           .shared
           .path()
-          .carried(now, carry.caller, balancer, direct);
+          .note_packet(now, carry.caller, balancer, direct);
         self.tell_found(tagger, from, carry);
         self.deliver(carry.caller, packet);
       }
@@ -363,7 +363,7 @@
     let Some(tagger) = self.tagger.clone() else {
       return;
     };
-    let quiet = self.shared.path().quiet(Instant::now());
+    let quiet = self.shared.path().take_due_probes(Instant::now());
     for balancer in quiet {
       self.nonce = self.nonce.wrapping_add(1);
       let probe = Frame::Probe(Probe {
@@ -384,7 +384,7 @@
       .filter(|instance| instance.role == Role::Balancer && instance.presence == Presence::Live)
       .map(|instance| instance.tunnel)
       .collect::<Vec<_>>();
-    self.shared.path().list(Instant::now(), &balancers);
+    self.shared.path().set_listed(Instant::now(), &balancers);
     let own = view.service(settings.service);
     self.table = own.map(|seen| {
       Arc::new(Table::new(
--- a/src/routing/path.rs
+++ b/src/routing/path.rs
@@ -42,7 +42,13 @@
   /// Records the balancer of a caller's packet. The balancer counts as responsive only if it sent
   /// the packet to this agent directly: one whose packet another agent forwarded may be unreachable
   /// from here.
-  pub fn carried(&mut self, now: Instant, caller: SocketAddr, balancer: SocketAddr, direct: bool) {
+  pub fn note_packet(
+    &mut self,
+    now: Instant,
+    caller: SocketAddr,
+    balancer: SocketAddr,
+    direct: bool,
+  ) {
     if direct {
       self.note_heard(now, balancer);
     }
@@ -84,7 +90,7 @@
   }
 
   /// Sets the balancers that the configuration names; others are kept until they expire.
-  pub fn list(&mut self, now: Instant, balancers: &[SocketAddr]) {
+  pub fn set_listed(&mut self, now: Instant, balancers: &[SocketAddr]) {
     for (address, state) in &mut self.balancers {
       state.listed = balancers.contains(address);
     }
@@ -100,7 +106,7 @@
   }
 
   /// The balancers that are to be probed now; each counts as probed by this call.
-  pub fn quiet(&mut self, now: Instant) -> Vec<SocketAddr> {
+  pub fn take_due_probes(&mut self, now: Instant) -> Vec<SocketAddr> {
     let mut quiet = Vec::new();
     for (address, state) in &mut self.balancers {
       let heard = now.duration_since(state.last_heard) < PROBE_INTERVAL;
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -174,8 +174,8 @@
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[first, second]);
-  path.carried(start, caller, first, true);
+  path.set_listed(start, &[first, second]);
+  path.note_packet(start, caller, first, true);
   path.note_heard(start, second);
   assert_eq!(path.choose(start, caller, &mut rng), Some(first));
   let later = start + Duration::from_secs(3);
@@ -192,9 +192,9 @@
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[first, second]);
+  path.set_listed(start, &[first, second]);
   path.note_heard(start, first);
-  path.carried(start, caller, second, false);
+  path.note_packet(start, caller, second, false);
   assert_eq!(path.choose(start, caller, &mut rng), Some(first));
 }
 
@@ -202,12 +202,12 @@
 fn unresponsive_balancer_is_probed_once_per_second() {
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[balancer(1), balancer(2)]);
+  path.set_listed(start, &[balancer(1), balancer(2)]);
   let mut probes = 0;
   for tick in 0..100 {
     let now = start + Duration::from_millis(50 * tick);
     path.note_heard(now, balancer(2));
-    probes += path.quiet(now).len();
+    probes += path.take_due_probes(now).len();
   }
   assert_eq!(probes, 5);
 }
