--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -21,12 +21,12 @@
 
 impl Budget {
   /// Adds the tokens of one first attempt.
-  pub fn first(&mut self) {
+  pub fn add_attempt(&mut self) {
     self.tokens = (self.tokens + ATTEMPT_TOKENS).min(TOKENS_MAX);
   }
 
   /// Takes the tokens of one retry; false when too few are left, so that it must not be made.
-  pub fn retry(&mut self) -> bool {
+  pub fn take_retry(&mut self) -> bool {
     if self.tokens < RETRY_TOKENS {
       return false;
     }
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -22,7 +22,7 @@
 /// Runs a call once, here or at a peer that has a free slot; one that may be repeated is tried
 /// again elsewhere when its upstream fails, within the budget.
 pub async fn run(shared: &Arc<Shared>, call: Call) -> Reply {
-  shared.budget().first();
+  shared.budget().add_attempt();
   let again = if call.route.repeatable {
     call.copy()
   } else {
@@ -32,7 +32,7 @@
   let Some(again) = again else {
     return reply;
   };
-  if !has_failed(&reply) || !shared.budget().retry() {
+  if !has_failed(&reply) || !shared.budget().take_retry() {
     return reply;
   }
   shared.counter.add("requests.retried", 1);
--- a/tests/machines/admission.rs
+++ b/tests/machines/admission.rs
@@ -119,8 +119,8 @@
   let mut budget = Budget::default();
   let mut retries = 0;
   for _ in 0..10_000 {
-    budget.first();
-    retries += u32::from(budget.retry());
+    budget.add_attempt();
+    retries += u32::from(budget.take_retry());
   }
   assert!((1000..=1010).contains(&retries), "{retries}");
 }
