--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -4,7 +4,7 @@
     Code, Revision,
     code::Fault,
     config::{Presence, Role},
-    flow::{self, Action, Event, Machine, Pass},
+    flow::{self, Action, Event, Forward, Machine},
     net::{Batch, Outbox},
     peer::{Node, View},
     routing::{Health, Table},
@@ -203,10 +203,10 @@
         self.tell_found(tagger, from, carry);
         self.deliver(carry.caller, packet);
       }
-      Action::Pass(pass) => self.pass(tagger, balancer, carry, pass, packet, outbox),
+      Action::Forward(pass) => self.pass(tagger, balancer, carry, pass, packet, outbox),
       Action::Search(others) => {
         for to in others {
-          self.pass(tagger, balancer, carry, Pass::to(to), packet, outbox);
+          self.pass(tagger, balancer, carry, Forward::to(to), packet, outbox);
         }
       }
       Action::Refuse(code) => self.refuse(tagger, balancer, carry, code),
@@ -229,7 +229,7 @@
     tagger: &Tagger,
     balancer: SocketAddr,
     carry: &Carry,
-    pass: Pass,
+    pass: Forward,
     packet: &'a [u8],
     outbox: &mut Outbox<'a>,
   ) {
--- a/src/flow/action.rs
+++ b/src/flow/action.rs
@@ -1,5 +1,5 @@
 use {
-  super::Pass,
+  super::Forward,
   crate::{Code, routing::Hop},
 };
 
@@ -11,7 +11,7 @@
   /// Deliver it to the transport, which may open a new flow for it.
   Open,
   /// Forward it to another target.
-  Pass(Pass),
+  Forward(Forward),
   /// Drop it and report the result code to the sender of the frame.
   Refuse(Code),
   /// Deliver it to the transport, which resets the flow towards the caller: the flow belongs to a
--- a/src/flow/pass.rs
+++ b/src/flow/forward.rs
@@ -5,7 +5,7 @@
 
 /// A packet's next target, with the header fields that it is forwarded with.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Pass {
+pub struct Forward {
   /// The targets that it is forwarded to after `to`, in order, until one owns its flow.
   pub chain: Chain,
   /// How many times a target that could not open the flow has redirected it.
@@ -16,7 +16,7 @@
   pub may_open: bool,
 }
 
-impl Pass {
+impl Forward {
   /// Forwards to a single target, which may not open the flow.
   pub fn to(to: Hop) -> Self {
     Self {
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Action, Pass, Settings},
+  super::{Action, Forward, Settings},
   crate::{
     Code, id, rate,
     routing::{self, Hop, Table},
@@ -166,7 +166,7 @@
       return Action::Reset;
     }
     match table.and_then(|table| table.get(target)) {
-      Some(entry) => Action::Pass(Pass::to(Hop::from(entry))),
+      Some(entry) => Action::Forward(Forward::to(Hop::from(entry))),
       None => Action::Refuse(Code::FlowUnknown),
     }
   }
@@ -191,10 +191,10 @@
       return Action::Refuse(Code::NotReady);
     };
     if let Some(forward) = self.forward_to_cached(now, table, key, carry) {
-      return Action::Pass(forward);
+      return Action::Forward(forward);
     }
     if let Some(forward) = self.forward_along_chain(table, carry) {
-      return Action::Pass(forward);
+      return Action::Forward(forward);
     }
     if opens {
       return self.open_or_redirect(now, table, key, carry, flows);
@@ -209,7 +209,7 @@
     table: &Table,
     key: u64,
     carry: &Carry,
-  ) -> Option<Pass> {
+  ) -> Option<Forward> {
     // Another agent forwarded this packet; the cached target may be that agent.
     if carry.hops > 0 {
       return None;
@@ -224,11 +224,11 @@
     let to = Hop::from(table.get(forwarded.to)?);
     let mut chain = carry.chain.clone();
     chain.retain(|target| *target != to.target);
-    Some(Pass::along(carry, to, chain))
+    Some(Forward::along(carry, to, chain))
   }
 
   /// Forwards to the next target of the chain that is in the table.
-  fn forward_along_chain(&self, table: &Table, carry: &Carry) -> Option<Pass> {
+  fn forward_along_chain(&self, table: &Table, carry: &Carry) -> Option<Forward> {
     let mut rest = carry.chain.iter();
     let to = rest.find_map(|target| {
       if *target == self.target {
@@ -236,7 +236,7 @@
       }
       table.get(*target).map(Hop::from)
     })?;
-    Some(Pass::along(carry, to, rest.copied().collect()))
+    Some(Forward::along(carry, to, rest.copied().collect()))
   }
 
   /// Opens the flow here, or redirects it when this target is draining or full.
@@ -266,10 +266,10 @@
       return Action::Refuse(code);
     };
     self.cache_target(now, key, to.target);
-    Action::Pass(Pass {
+    Action::Forward(Forward {
       redirects: carry.redirects + 1,
       may_open: carry.may_open,
-      ..Pass::to(to)
+      ..Forward::to(to)
     })
   }
 
--- a/tests/machines/flow.rs
+++ b/tests/machines/flow.rs
@@ -81,7 +81,7 @@
     target: id::Target(2),
   });
   let action = step(&mut machine(Settings::default()), &frame, 0);
-  assert_matches!(action, Action::Pass(forward) => assert_eq!(forward.to.address, address(2)));
+  assert_matches!(action, Action::Forward(forward) => assert_eq!(forward.to.address, address(2)));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     opens: true,
   });
   let action = step(&mut machine, &frame, 0);
-  assert_matches!(action, Action::Pass(forward) => assert_eq!(forward.to.target, id::Target(2)));
+  assert_matches!(action, Action::Forward(forward) => assert_eq!(forward.to.target, id::Target(2)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
     opens: true,
   });
   let action = step(&mut machine(Settings::default()), &frame, 100);
-  assert_matches!(action, Action::Pass(forward) => assert_eq!(forward.to.target, id::Target(2)));
+  assert_matches!(action, Action::Forward(forward) => assert_eq!(forward.to.target, id::Target(2)));
 }
 
 #[test]
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -299,7 +299,7 @@
           self.send_found(forwarded_by, &carry);
           return Fate::Opened(id);
         }
-        Action::Pass(forward) => {
+        Action::Forward(forward) => {
           hops += 1;
           forwarded_by = Some(id);
           carry = Carry {
