--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -150,7 +150,7 @@
     let Some(table) = self.table() else {
       return BTreeSet::new();
     };
-    table.earlier_firsts(home::rank_key(key), self.changed_within_window())
+    table.first_candidates(home::rank_key(key), self.changed_within_window())
   }
 
   /// Decides over a request with a key, and makes the place where its answer is waited for.
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -104,7 +104,7 @@
 
   /// The first candidate of a key in each set whose revision is `from` or later, whatever the
   /// health of the targets is.
-  pub fn earlier_firsts(&self, key: u64, from: Revision) -> BTreeSet<id::Target> {
+  pub fn first_candidates(&self, key: u64, from: Revision) -> BTreeSet<id::Target> {
     let sets = self.sets.iter().zip(&self.revisions);
     let later_sets = sets.filter(|(_, revision)| **revision >= from);
     let firsts = later_sets.filter_map(|(set, _)| {
