--- a/src/admission/machine.rs
+++ b/src/admission/machine.rs
@@ -86,7 +86,7 @@
     self.waiting.is_empty() && self.running.len() < self.settings.slots
   }
 
-  /// Changes the number of slots, which is at least 1. Requests that run already go on.
+  /// Changes the number of slots, which is at least 1. Running requests are not interrupted.
   pub fn set_slots(&mut self, slots: usize) {
     self.settings.slots = slots.max(1);
   }
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -101,7 +101,7 @@
     (self.owned.len(), self.forwarded.len())
   }
 
-  /// Processes an event; none unless it is a packet.
+  /// Processes an event; returns an action only for a packet.
   pub fn step(&mut self, now: Instant, table: Option<&Table>, event: Event) -> Option<Action> {
     match event {
       Event::Carry { carry, flows } => {
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -46,8 +46,8 @@
 pub enum Event {
   /// A frame from the target arrived.
   Heard(Member),
-  /// All targets of the configuration, with the addresses of their agents; `true` for those that
-  /// are draining. Other targets are forgotten.
+  /// The targets of current and previous sets, with the addresses of their agents; `true` for those
+  /// that the configuration says are draining. Other targets are forgotten.
   Listed(Vec<(Member, SocketAddr, bool)>),
   /// The target refused a frame, with this result code.
   Refused(Member, Code),
@@ -114,17 +114,17 @@
     }
   }
 
-  /// The number of targets of the configuration.
+  /// The number of targets that were last listed.
   pub fn len(&self) -> usize {
     self.members.len()
   }
 
-  /// Whether the configuration has no targets.
+  /// Whether no targets were listed.
   pub fn is_empty(&self) -> bool {
     self.members.is_empty()
   }
 
-  /// The health of a target; live if it isn't in the configuration.
+  /// The health of a target; live if it isn't listed.
   pub fn health(&self, member: Member) -> Health {
     self
       .members
