--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,4 +1,4 @@
-/// Tokens that a first attempt adds: a tenth of a retry.
+/// Tokens that a first attempt adds: a tenth of what a retry costs.
 const ATTEMPT_TOKENS: u32 = 10;
 
 /// Tokens that a retry costs.
--- a/src/admission/machine.rs
+++ b/src/admission/machine.rs
@@ -17,7 +17,7 @@
   Arrived {
     /// A hash that identifies its caller.
     caller: u64,
-    /// The deadline for starting it; it is shed from then on.
+    /// The deadline for starting it; if it hasn't started by then, it is shed.
     start_by: Instant,
     /// The request's number.
     ticket: Ticket,
@@ -54,8 +54,9 @@
   ticket: Ticket,
 }
 
-/// The slots of an upstream and the bounded queue before them. The next request to start is one of
-/// the caller with the fewest running requests, and among those the one with the earliest deadline.
+/// The slots of an upstream and the bounded queue before them. Of the queued requests, the one whose
+/// caller has the fewest running requests starts next, and among several the one with the earliest
+/// deadline.
 #[derive(Debug)]
 pub struct Machine {
   /// The moving average of the running times.
--- a/tests/machines/admission.rs
+++ b/tests/machines/admission.rs
@@ -53,10 +53,10 @@
   let mut machine = machine(1);
   let now = Instant::now();
   machine.step(now, arrived(now, 0, 0, true));
-  for (ticket, start) in [(1, 900), (2, 100)] {
+  for (ticket, start_by_ms) in [(1, 900), (2, 100)] {
     let event = Event::Arrived {
       caller: ticket,
-      start_by: now + Duration::from_millis(start),
+      start_by: now + Duration::from_millis(start_by_ms),
       ticket: Ticket(ticket),
       waits: true,
     };
