--- a/src/flow/action.rs
+++ b/src/flow/action.rs
@@ -19,6 +19,6 @@
   Reset,
   /// Send a copy to each of these targets; only the owner of the flow accepts it.
   Search(Vec<Hop>),
-  /// Drop it without a refusal: it may not open a flow here, and this target doesn't own its flow.
+  /// Drop it without a refusal: this target doesn't own its flow and isn't allowed to open it.
   Skip,
 }
--- a/src/flow/forward.rs
+++ b/src/flow/forward.rs
@@ -17,7 +17,7 @@
 }
 
 impl Forward {
-  /// Forwards to a single target, which may not open the flow.
+  /// Forwards to a single target, without the permission to open the flow.
   pub fn to(to: Hop) -> Self {
     Self {
       chain: Chain::new(),
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -52,7 +52,9 @@
 pub struct Machine {
   incarnation: id::Incarnation,
   leaving: bool,
+  /// The time of the last packet of each flow that this target owns.
   owned: HashMap<u64, Instant>,
+  /// The flows that are forwarded to another target.
   forwarded: HashMap<u64, Forwarded>,
   searches: rate::Limit,
   service: id::Service,
@@ -96,7 +98,7 @@
     self.leaving
   }
 
-  /// The number of keys of owned flows, and of those that are forwarded.
+  /// The numbers of owned and of forwarded flows that are remembered.
   pub fn remembered(&self) -> (usize, usize) {
     (self.owned.len(), self.forwarded.len())
   }
@@ -138,8 +140,8 @@
   }
 
   /// Returns the action if it keeps the invariants: only packets for this target are delivered, and
-  /// only a target that isn't draining opens a flow. Otherwise panics in a debug build and refuses
-  /// the packet in a release build.
+  /// a flow is opened only with the frame's permission and while this target isn't draining.
+  /// Otherwise panics in a debug build and refuses the packet in a release build.
   fn enforce_invariants(&self, carry: &Carry, action: Action) -> Action {
     let accepts = matches!(action, Action::Deliver | Action::Open | Action::Reset);
     let is_addressee = carry.service == self.service && carry.target == self.target;
@@ -202,7 +204,8 @@
     self.search(now, table)
   }
 
-  /// Forwards to the target that confirmed the flow or that it was redirected to, if one is cached.
+  /// Forwards to the flow's cached target, if there is one: it confirmed that it owns the flow, or
+  /// this target redirected the flow to it.
   fn forward_to_cached(
     &mut self,
     now: Instant,
@@ -277,8 +280,9 @@
     table.get(self.target).map_or(0, |entry| entry.connections)
   }
 
-  /// Copies a packet whose flow no target of the chain owns to all other targets, at a bounded
-  /// rate. A chain would end at the first dead target; copies don't.
+  /// Sends a copy of a packet to each of up to [`CHAIN_MAX`] other targets, because no target of its
+  /// chain owns its flow. Unlike in a chain, a dead target doesn't affect the others. Refuses the
+  /// packet when the rate limit is reached.
   fn search(&mut self, now: Instant, table: &Table) -> Action {
     if !self.searches.take(now) {
       return Action::Refuse(Code::FlowUnknown);
--- a/src/flow/settings.rs
+++ b/src/flow/settings.rs
@@ -9,8 +9,8 @@
   pub idle_timeout: Duration,
   /// How many flows are remembered: this many that are owned, and this many that are forwarded.
   pub remembered_max: usize,
-  /// How many packets per second may be copied to all targets because no target of their chain owns
-  /// their flow.
+  /// How many packets per second may be copied to the other targets because no target of their
+  /// chain owns their flow.
   pub searches_per_second: u32,
 }
 
