--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,4 +1,5 @@
-//! Runs each request with an idempotency key at most once, and replays its answer to repetitions.
+//! Lets each request with an idempotency key run at most once within the repeat window, and replays
+//! its answer to repetitions.
 
 mod answer;
 mod machine;
--- a/src/ledger/machine.rs
+++ b/src/ledger/machine.rs
@@ -7,7 +7,7 @@
   },
 };
 
-/// The memory that an entry takes besides its answer, in bytes.
+/// The memory that is counted for an entry besides its answer, in bytes.
 const ENTRY_BYTES: usize = 160;
 
 /// What is known about earlier requests with a key at its previous homes: the targets that
@@ -26,7 +26,8 @@
 /// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-  /// Another process takes over as the key's home; the key never runs here from now on.
+  /// Another process takes over as the key's home. If no request with the key has run here, none
+  /// does within the repeat window.
   Claimed(u128),
   /// The key's request has ended.
   Finished(u128, Outcome),
@@ -38,7 +39,7 @@
     first: bool,
     /// A hash of the idempotency key.
     key: u128,
-    /// What is known about the key at its previous homes; used only if it is unknown here.
+    /// What is known about the key at its previous homes; used only if the key is unknown here.
     past: Past,
   },
 }
@@ -68,7 +69,8 @@
   /// It runs. Returned again for the same key only after the request was certainly not run, or
   /// after the repeat window.
   Run,
-  /// It isn't run, and its caller learns that the outcome is unknown.
+  /// It isn't run, and its caller learns that the outcome is unknown; for a claim: the key may have
+  /// been run here.
   Unknown,
   /// A request with the same key runs already; both get its answer.
   Wait,
@@ -77,6 +79,7 @@
 #[derive(Clone, Debug)]
 enum State {
   Done(Answer),
+  /// Another process claimed the key, and no request with it was known here.
   Moved,
   Running,
   Unknown,
@@ -89,13 +92,14 @@
   state: State,
 }
 
-/// Remembers each key for the repeat window. When the memory is full, new keys are refused; no key
-/// is evicted before its window is over.
+/// Remembers each key for the repeat window. When the memory is full, requests with new keys are
+/// refused; no key is evicted before its window is over.
 #[derive(Debug)]
 pub struct Machine {
   entries: HashMap<u128, Entry>,
   memory: usize,
-  /// Keys with a time of their last use, for expiry; may contain a key more than once.
+  /// Keys to check for expiry, each when the repeat window has passed since its time; may contain a
+  /// key more than once.
   expiry_queue: VecDeque<(Instant, u128)>,
   run_count: u64,
   settings: Settings,
--- a/src/ledger/settings.rs
+++ b/src/ledger/settings.rs
@@ -7,7 +7,7 @@
   pub answer_max: usize,
   /// The memory that all entries together may take, in bytes.
   pub memory_max: usize,
-  /// The repeat window: how long a key is remembered after its last request.
+  /// The repeat window: how long a key is remembered after its last use.
   pub window: Duration,
 }
 
--- a/tests/machines/ledger.rs
+++ b/tests/machines/ledger.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn key_that_was_not_run_may_run_again() {
+fn key_whose_request_was_not_run_can_still_run() {
   let mut ledger = Machine::new(Settings::default());
   let now = Instant::now();
   ledger.step(now, plain_request(1));
@@ -127,15 +127,15 @@
   };
   let mut ledger = Machine::new(settings);
   let now = Instant::now();
-  let mut run = Vec::new();
+  let mut running = Vec::new();
   for key in 0..100 {
     match ledger.step(now, plain_request(key)) {
-      Action::Run => run.push(key),
+      Action::Run => running.push(key),
       action => assert_eq!(action, Action::NotRun(Code::RequestLedgerFull)),
     }
   }
-  assert!(!run.is_empty());
-  for key in run {
+  assert!(!running.is_empty());
+  for key in running {
     assert_eq!(ledger.step(now, plain_request(key)), Action::Wait);
   }
 }
@@ -214,7 +214,7 @@
         Step::Request(key, first, past) => {
           let past = [Past::Clear, Past::Clear, Past::Lost, Past::Unreachable][usize::from(past)];
           if ledger.step(now, request(key, first, past)) == Action::Run {
-            prop_assert!(running.insert(key, now).is_none(), "a running key ran");
+            prop_assert!(running.insert(key, now).is_none(), "a key ran while it was running");
             if let Some(at) = ended_at.get(&key) {
               prop_assert!(now.duration_since(*at) >= settings.window, "a key ran twice");
             }
