--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -16,7 +16,8 @@
   pub probes_per_second: u32,
   /// The time between two probes of a target that isn't silent yet.
   pub probe_interval: Duration,
-  /// A target that packets are sent to is probed when no frame from it arrived for this long.
+  /// A target that isn't silent is probed when no frame from it arrived for this long, if a packet
+  /// was sent to it within four times as long.
   pub probe_after: Duration,
   /// The number of consecutive unanswered probes that a target may have without counting as silent.
   pub unanswered_max: u32,
@@ -57,7 +58,7 @@
   Tick,
 }
 
-/// What the caller of the machine has to do.
+/// What is to be done after an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
   /// Rebuild the routing tables: the health of the target changed.
@@ -114,12 +115,12 @@
     }
   }
 
-  /// The number of targets that were last listed.
+  /// The number of listed targets.
   pub fn len(&self) -> usize {
     self.members.len()
   }
 
-  /// Whether no targets were listed.
+  /// Whether no target is listed.
   pub fn is_empty(&self) -> bool {
     self.members.is_empty()
   }
@@ -190,7 +191,7 @@
         continue;
       }
       let mut state = match previous.remove(&member) {
-        // Another address means another instance, which has no history yet.
+        // Another address means another instance, to which the known state doesn't apply.
         Some(state) if state.address == address => state,
         _ => State::new(address),
       };
@@ -299,8 +300,8 @@
   sent || state.health != Health::Live
 }
 
-/// Whether a target is to be probed: it is silent, or packets are sent to it and no frame arrives
-/// from it.
+/// Whether a target is to be probed: the interval since its last probe is over, and it is silent, or
+/// packets are sent to it and no frame arrives from it.
 fn is_probe_due(now: Instant, settings: &Settings, state: &State) -> bool {
   let age = |instant: Option<Instant>| instant.map(|instant| now.duration_since(instant));
   if let Some(probe_age) = age(state.last_probe) {
