--- a/src/routing/machine.rs
+++ b/src/routing/machine.rs
@@ -44,7 +44,7 @@
   Chain {
     /// The targets after the first, in order.
     chain: Chain,
-    /// Silent targets, which may own the flow; in the chain, a dead one would end it.
+    /// Silent targets, which may own the flow; a chain would end at a dead one.
     copies: Vec<Hop>,
     /// The first target.
     first: Hop,
@@ -54,8 +54,8 @@
   },
   /// To the target that the packet names.
   Named(Hop),
-  /// To a live target, which forwards it to the named target if it knows that one: this process
-  /// doesn't.
+  /// To a live target, since this process doesn't know the named one; it forwards the packet if it
+  /// does.
   Relay(Hop),
 }
 
@@ -73,8 +73,8 @@
     }
   }
 
-  /// The first candidate of a key among the live targets that are not in `except`: where a flow is
-  /// redirected that other targets can't open.
+  /// The first candidate of a key among the live targets of the current set that are not in
+  /// `except`; a flow that those can't open is redirected to it.
   pub fn alternative(table: &Table, key: u64, except: &[id::Target]) -> Option<Hop> {
     table
       .current()
@@ -98,7 +98,8 @@
     let live = scores.candidates(table, current, |entry| entry.health == Health::Live);
     let mut last = Self::least_loaded(table, &live, loads);
     if last.is_none() && opens {
-      // No target is live. The silent ones may be cut off only from this process: try the best.
+      // No target of the current set is live. A silent one may be unreachable only from this
+      // process: use the one with the highest score.
       let silent = |entry: &Entry| entry.health == Health::Silent;
       last = scores.candidates(table, current, silent).first().copied();
     }
@@ -116,8 +117,8 @@
     chain.extend(last);
     let mut search = false;
     if chain.is_empty() {
-      // All candidates are silent. Any other target may have cached the owner of the flow; if all
-      // targets are silent, each is sent the packet.
+      // All candidates are silent. A target that isn't may have cached the owner of the flow; if all
+      // targets are silent, up to `CHAIN_MAX` of them are sent the packet.
       chain.extend(scores.best_responsive(table));
       search = chain.is_empty();
       if search {
--- a/src/routing/path.rs
+++ b/src/routing/path.rs
@@ -22,7 +22,7 @@
 const CALLERS_MAX: usize = 100_000;
 
 /// Chooses the balancer that sends an answer to its caller: the one that forwarded the caller's
-/// last packet, or any other one if that is unresponsive.
+/// last packet; if that is unresponsive, a random responsive one; if none is responsive, any.
 #[derive(Debug, Default)]
 pub struct Path {
   balancers: HashMap<SocketAddr, Balancer>,
@@ -94,10 +94,11 @@
     for (address, state) in &mut self.balancers {
       state.listed = balancers.contains(address);
     }
-    let timed_out = now.checked_sub(BALANCER_TIMEOUT).unwrap_or(now);
+    // A new balancer counts as unresponsive until a frame from it arrives.
+    let one_timeout_ago = now.checked_sub(BALANCER_TIMEOUT).unwrap_or(now);
     for address in balancers {
       self.balancers.entry(*address).or_insert(Balancer {
-        last_heard: timed_out,
+        last_heard: one_timeout_ago,
         listed: true,
         last_probe: None,
       });
@@ -107,7 +108,7 @@
 
   /// The balancers that are to be probed now; each counts as probed by this call.
   pub fn take_due_probes(&mut self, now: Instant) -> Vec<SocketAddr> {
-    let mut quiet = Vec::new();
+    let mut due = Vec::new();
     for (address, state) in &mut self.balancers {
       let heard = now.duration_since(state.last_heard) < PROBE_INTERVAL;
       let probed = state
@@ -115,10 +116,10 @@
         .is_some_and(|last_probe| now.duration_since(last_probe) < PROBE_INTERVAL);
       if state.listed && !heard && !probed {
         state.last_probe = Some(now);
-        quiet.push(*address);
+        due.push(*address);
       }
     }
-    quiet
+    due
   }
 
   /// The numbers of callers and of balancers that are remembered.
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -61,6 +61,7 @@
     table.add_set(&service.targets, &health);
     for set in history {
       table.revisions.push(set.revision);
+      // A target that is only in a previous set opens no new flows.
       table.add_set(&set.targets, |target| match health(target) {
         Health::Silent => Health::Silent,
         _ => Health::Leaving,
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn relay_without_a_live_target_is_unroutable() {
+fn packet_naming_an_unknown_target_is_unroutable_without_a_live_target() {
   let table = table(2, |_| Health::Leaving);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
