--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer: receives callers' packets from the fabric and forwards each to the target that
-//! owns its flow, without any state per flow.
+//! The balancer: receives callers' packets from the fabric and forwards each to the targets that may
+//! own its flow, without any state per flow.
 
 mod controller;
 mod observations;
--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -33,8 +33,8 @@
 /// How often the state is published and the age of target sets is checked.
 const DUMP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opening packets are also routed by target sets that were replaced less than this ago: a target
-/// of such a set may own the flow already, and the packet be a retransmission.
+/// Opening packets are also routed by target sets that were replaced within this time: the packet
+/// may be a retransmission, and a target of such a set may own its flow already.
 const OPENING_WINDOW: Duration = Duration::from_mins(1);
 
 /// Builds the workers' routing tables from the configuration and from the targets' health, which it
@@ -138,8 +138,8 @@
     Ok(())
   }
 
-  /// All targets of the current and previous sets. A current one is draining if its service or its
-  /// agent's instance says so.
+  /// All targets of the current and previous sets. A target of the current set is draining if the
+  /// configuration of its service or of its agent's instance says so.
   fn listed(&self) -> Vec<(Member, SocketAddr, bool)> {
     let leaving = self
       .view
@@ -173,7 +173,7 @@
     self.packets_out += report.packets_out;
     self.worker_versions.insert(report.worker, report.version);
     if report.version < self.snapshot.version {
-      // A worker that has restarted has no snapshot.
+      // The worker may have restarted, so that it has no snapshot.
       let _ = self.workers[report.worker].send(Arc::new(self.snapshot.clone()));
     }
     for member in report.heard {
--- a/src/balancer/run.rs
+++ b/src/balancer/run.rs
@@ -22,7 +22,7 @@
   },
 };
 
-/// How many workers' reports are queued for the controller; further ones are dropped.
+/// How many reports of workers are queued for the controller; further ones are dropped.
 const REPORT_QUEUE_MAX: usize = 1024;
 
 /// Runs a balancer until a signal stops it, then for `linger_ms` more without answering probes, so
