--- a/tests/machines/main.rs
+++ b/tests/machines/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the state machines, without sockets or clocks.
+//! Tests of the state machines, without sockets and in simulated time.
 
 #[path = "../support/mesh.rs"]
 mod mesh;
--- a/tests/machines/random_run.rs
+++ b/tests/machines/random_run.rs
@@ -99,7 +99,7 @@
     self.world.publish();
   }
 
-  /// Kills a target; only its own flows are lost.
+  /// Kills a target and forgets its flows; no other flow may be lost with it.
   fn kill(&mut self, pick: usize) {
     if self.world.targets.len() <= 3 {
       return;
--- a/tests/machines/wire.rs
+++ b/tests/machines/wire.rs
@@ -22,11 +22,11 @@
   .unwrap()
 }
 
-fn frame(chain: usize) -> Frame {
+fn frame(chain_length: usize) -> Frame {
   Frame::Carry(Carry {
     balancer: Some(SocketAddr::from(([127, 0, 0, 1], 65535))),
     caller: SocketAddr::from(([127, 0, 0, 1], 65535)),
-    chain: std::iter::repeat_n(id::Target(u32::MAX), chain).collect(),
+    chain: std::iter::repeat_n(id::Target(u32::MAX), chain_length).collect(),
     flow: Flow::Keyed {
       key: u64::MAX,
       opens: true,
@@ -118,7 +118,7 @@
   }
 
   #[test]
-  fn random_connection_id_is_not_taken_for_an_agents(bytes in any::<[u8; 16]>()) {
+  fn random_connection_id_is_not_decoded(bytes in any::<[u8; 16]>()) {
     prop_assert_eq!(Cid::decode(&bytes, id::Service(1), &tagger(&[1])), None);
   }
 }
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -273,7 +273,7 @@
     }
   }
 
-  /// Forwards a packet from agent to agent until one delivers, opens or drops it.
+  /// Forwards a packet from agent to agent until one delivers it, opens its flow or drops it.
   fn forward(&mut self, mut carry: Carry) -> Fate {
     let mut hops = 0;
     let mut forwarded_by = None;
