--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -4,10 +4,10 @@
     Code, Revision,
     code::Fault,
     config::{Presence, Role},
-    flow::{self, Action, Event, Machine, Pass},
+    flow::{self, Action, Event, Forward, Machine},
     net::{Batch, Outbox},
     peer::{Node, View},
-    routing::{Standing, Table},
+    routing::{Health, Table},
     state::Registry,
     supervisor::Stop,
     wire::{Carry, Echo, Flow, Found, Frame, HEADER_MAX, Probe, Refusal, Tagger},
@@ -145,7 +145,7 @@
           self.carry(now, &tagger, from, &carry, packet, &mut outbox);
         }
         Ok((Frame::Echo(echo), _)) => {
-          self.shared.path().heard(now, from);
+          self.shared.path().note_heard(now, from);
           self.compare(echo.revision);
         }
         Ok((Frame::Found(found), _)) => {
@@ -199,14 +199,14 @@
         self
           .shared
           .path()
-          .carried(now, carry.caller, balancer, direct);
+          .note_packet(now, carry.caller, balancer, direct);
         self.tell_found(tagger, from, carry);
         self.deliver(carry.caller, packet);
       }
-      Action::Pass(pass) => self.pass(tagger, balancer, carry, pass, packet, outbox),
+      Action::Forward(pass) => self.pass(tagger, balancer, carry, pass, packet, outbox),
       Action::Search(others) => {
         for to in others {
-          self.pass(tagger, balancer, carry, Pass::to(to), packet, outbox);
+          self.pass(tagger, balancer, carry, Forward::to(to), packet, outbox);
         }
       }
       Action::Refuse(code) => self.refuse(tagger, balancer, carry, code),
@@ -229,7 +229,7 @@
     tagger: &Tagger,
     balancer: SocketAddr,
     carry: &Carry,
-    pass: Pass,
+    pass: Forward,
     packet: &'a [u8],
     outbox: &mut Outbox<'a>,
   ) {
@@ -243,7 +243,7 @@
       revision: self.revision(),
       service: carry.service,
       target: pass.to.target,
-      whole: pass.whole,
+      may_open: pass.may_open,
     });
     let mut header = [0; HEADER_MAX];
     match frame.encode(packet.len(), tagger, &mut header) {
@@ -363,7 +363,7 @@
     let Some(tagger) = self.tagger.clone() else {
       return;
     };
-    let quiet = self.shared.path().quiet(Instant::now());
+    let quiet = self.shared.path().take_due_probes(Instant::now());
     for balancer in quiet {
       self.nonce = self.nonce.wrapping_add(1);
       let probe = Frame::Probe(Probe {
@@ -384,7 +384,7 @@
       .filter(|instance| instance.role == Role::Balancer && instance.presence == Presence::Live)
       .map(|instance| instance.tunnel)
       .collect::<Vec<_>>();
-    self.shared.path().list(Instant::now(), &balancers);
+    self.shared.path().set_listed(Instant::now(), &balancers);
     let own = view.service(settings.service);
     self.table = own.map(|seen| {
       Arc::new(Table::new(
@@ -394,9 +394,9 @@
         usize::MAX,
         |target| {
           if target.leaving {
-            Standing::Leaving
+            Health::Leaving
           } else {
-            Standing::Live
+            Health::Live
           }
         },
       ))
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,4 +1,5 @@
-//! At most once: what the request of an idempotency key may do next.
+//! Lets each request with an idempotency key run at most once within the repeat window, and replays
+//! its answer to repetitions.
 
 mod answer;
 mod machine;
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -5,7 +5,7 @@
     Code, Revision,
     config::Set,
     id,
-    routing::{Loads, Machine, Path, Route, Standing, Table},
+    routing::{Health, Loads, Machine, Path, Route, Table},
     wire::Flow,
   },
   rand::{SeedableRng, rngs::SmallRng},
@@ -16,11 +16,9 @@
   },
 };
 
-fn table(targets: u32, standing: impl Fn(u32) -> Standing) -> Table {
+fn table(targets: u32, health: impl Fn(u32) -> Health) -> Table {
   let service = service((1..=targets).map(target));
-  Table::new(Revision(1), &service, &[], 1, |target| {
-    standing(target.id.0)
-  })
+  Table::new(Revision(1), &service, &[], 1, |target| health(target.id.0))
 }
 
 fn last(route: Route) -> u32 {
@@ -34,8 +32,8 @@
 }
 
 #[test]
-fn new_flows_spread_over_all_targets() {
-  let table = table(7, |_| Standing::Live);
+fn new_flows_are_distributed_evenly() {
+  let table = table(7, |_| Health::Live);
   let mut counts: HashMap<u32, u32> = HashMap::new();
   for key in 0..7000 {
     let route = Machine::step(&table, opening(key), &NoLoads).unwrap();
@@ -49,47 +47,47 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_candidates_takes_a_new_flow() {
-  struct Busy;
-  impl Loads for Busy {
+fn new_flow_goes_to_the_less_loaded_of_two_candidates() {
+  struct FirstIsFull;
+  impl Loads for FirstIsFull {
     fn load(&self, _: id::Service, target: id::Target) -> u8 {
       if target.0 == 1 { 255 } else { 10 }
     }
   }
-  let table = table(7, |_| Standing::Live);
+  let table = table(7, |_| Health::Live);
   for key in 0..1000 {
-    let route = Machine::step(&table, opening(key), &Busy).unwrap();
+    let route = Machine::step(&table, opening(key), &FirstIsFull).unwrap();
     assert_ne!(last(route), 1);
   }
 }
 
 #[test]
-fn a_leaving_target_takes_no_new_flow_and_is_asked_for_old_ones() {
+fn leaving_target_is_in_chains_but_opens_no_flow() {
   let table = table(3, |id| {
     if id == 1 {
-      Standing::Leaving
+      Health::Leaving
     } else {
-      Standing::Live
+      Health::Live
     }
   });
-  let mut asked = 0;
+  let mut included = 0;
   for key in 0..1000 {
     let route = Machine::step(&table, opening(key), &NoLoads).unwrap();
     assert_matches!(&route, Route::Chain { chain, first, .. } => {
-      asked += u32::from(first.target.0 == 1 || chain.iter().any(|target| target.0 == 1));
+      included += u32::from(first.target.0 == 1 || chain.iter().any(|target| target.0 == 1));
     });
     assert_ne!(last(route), 1);
   }
-  assert!(asked > 500, "asked {asked} times");
+  assert!(included > 500, "in {included} chains");
 }
 
 #[test]
-fn a_silent_target_holds_up_no_chain_and_gets_a_copy() {
+fn silent_target_gets_copies_and_is_in_no_chain() {
   let table = table(4, |id| {
     if id == 1 {
-      Standing::Silent
+      Health::Silent
     } else {
-      Standing::Live
+      Health::Live
     }
   });
   let mut copies_seen = 0;
@@ -104,15 +102,14 @@
   assert!(copies_seen > 300, "{copies_seen} copies");
 }
 
-/// Two halves that do not reach each other: each avoids the other. (A rule that forgave silence
-/// from half of the targets on lost every second opening packet.)
+/// In a network partition, no new flow may be placed on the unreachable half of the targets.
 #[test]
-fn half_of_the_targets_silent_are_avoided() {
+fn new_flows_avoid_silent_targets_even_if_half_are_silent() {
   let table = table(4, |id| {
     if id <= 2 {
-      Standing::Silent
+      Health::Silent
     } else {
-      Standing::Live
+      Health::Live
     }
   });
   for key in 0..1000 {
@@ -121,16 +118,16 @@
 }
 
 #[test]
-fn one_is_tried_when_all_seem_silent() {
-  let table = table(4, |_| Standing::Silent);
+fn opening_packet_is_routed_when_all_targets_are_silent() {
+  let table = table(4, |_| Health::Silent);
   for key in 0..100 {
     assert!(last(Machine::step(&table, opening(key), &NoLoads).unwrap()) > 0);
   }
 }
 
 #[test]
-fn a_named_target_that_is_unknown_here_is_looked_for_at_another() {
-  let table = table(2, |_| Standing::Live);
+fn packet_naming_an_unknown_target_is_relayed() {
+  let table = table(2, |_| Health::Live);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(99),
@@ -139,13 +136,13 @@
 }
 
 #[test]
-fn a_named_target_of_an_earlier_set_is_reached() {
+fn packet_naming_a_target_of_a_previous_set_is_sent_to_it() {
   let history = [Set {
     revision: Revision(1),
     targets: vec![target(9)],
   }];
   let service = service([target(1)]);
-  let table = Table::new(Revision(2), &service, &history, 1, |_| Standing::Live);
+  let table = Table::new(Revision(2), &service, &history, 1, |_| Health::Live);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(9),
@@ -157,8 +154,8 @@
 }
 
 #[test]
-fn no_live_target_means_unroutable_for_a_relay() {
-  let table = table(2, |_| Standing::Leaving);
+fn packet_naming_an_unknown_target_is_unroutable_without_a_live_target() {
+  let table = table(2, |_| Health::Leaving);
   let flow = Flow::Named {
     incarnation: id::Incarnation(1),
     target: id::Target(99),
@@ -171,46 +168,46 @@
 }
 
 #[test]
-fn answers_leave_by_the_callers_last_balancer_until_it_is_quiet() {
-  let (near, far) = (balancer(1), balancer(2));
+fn answers_use_the_callers_last_balancer_until_it_times_out() {
+  let (first, second) = (balancer(1), balancer(2));
   let caller = SocketAddr::from(([127, 0, 0, 1], 9));
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[near, far]);
-  path.carried(start, caller, near, true);
-  path.heard(start, far);
-  assert_eq!(path.choose(start, caller, &mut rng), Some(near));
+  path.set_listed(start, &[first, second]);
+  path.note_packet(start, caller, first, true);
+  path.note_heard(start, second);
+  assert_eq!(path.choose(start, caller, &mut rng), Some(first));
   let later = start + Duration::from_secs(3);
-  path.heard(later, far);
-  assert_eq!(path.choose(later, caller, &mut rng), Some(far));
+  path.note_heard(later, second);
+  assert_eq!(path.choose(later, caller, &mut rng), Some(second));
 }
 
-/// An agent to which another passed a packet cannot tell from it that the balancer is near. (When
-/// it did, its answers went to a balancer that was cut off from it.)
+/// A forwarded packet doesn't show that its balancer can be reached from here; answers sent to it
+/// might be lost.
 #[test]
-fn a_balancer_known_only_through_a_passed_packet_is_not_preferred() {
-  let (near, far) = (balancer(1), balancer(2));
+fn balancer_of_a_forwarded_packet_is_not_considered_responsive() {
+  let (first, second) = (balancer(1), balancer(2));
   let caller = SocketAddr::from(([127, 0, 0, 1], 9));
   let mut rng = SmallRng::seed_from_u64(1);
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[near, far]);
-  path.heard(start, near);
-  path.carried(start, caller, far, false);
-  assert_eq!(path.choose(start, caller, &mut rng), Some(near));
+  path.set_listed(start, &[first, second]);
+  path.note_heard(start, first);
+  path.note_packet(start, caller, second, false);
+  assert_eq!(path.choose(start, caller, &mut rng), Some(first));
 }
 
 #[test]
-fn a_quiet_balancer_is_probed_once_a_second() {
+fn unresponsive_balancer_is_probed_once_per_second() {
   let mut path = Path::default();
   let start = Instant::now();
-  path.list(start, &[balancer(1), balancer(2)]);
+  path.set_listed(start, &[balancer(1), balancer(2)]);
   let mut probes = 0;
   for tick in 0..100 {
     let now = start + Duration::from_millis(50 * tick);
-    path.heard(now, balancer(2));
-    probes += path.quiet(now).len();
+    path.note_heard(now, balancer(2));
+    probes += path.take_due_probes(now).len();
   }
   assert_eq!(probes, 5);
 }
