--- a/src/datagram/balancer.rs
+++ b/src/datagram/balancer.rs
@@ -1,7 +1,6 @@
-//! What a balancer does with the packets of callers: it places new flows, remembers where they
-//! are, and searches for those that it does not know.
+//! The balancer of datagram flows: places new flows on targets, remembers where open flows are, and
+//! queries agents for flows that it does not know.
 
-mod absences;
 mod announced;
 mod choosing;
 mod closures;
@@ -18,6 +17,7 @@
 mod questions;
 mod remembering;
 mod restarting;
+mod restarts;
 mod search;
 mod searching;
 mod targets;
--- a/src/datagram/balancer/announced.rs
+++ b/src/datagram/balancer/announced.rs
@@ -6,23 +6,23 @@
   },
 };
 
-/// How often agents are told at least how many flows wait for them: well before they forget it.
-const RENEW: Duration = Duration::from_millis(100);
+/// How often a queue length is sent at least: before agents discard the last one.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What agents were last told of the flows that wait here for their service.
+/// The queue lengths that agents were last sent, by service.
 #[derive(Debug, Default)]
 pub struct Announced {
   services: BTreeMap<Service, (Instant, usize)>,
 }
 
 impl Announced {
-  /// Whether agents are to be told that so many flows wait: none were said to, twice as many or
-  /// half as many, or it was long ago. Counts as told then.
+  /// Whether agents are due to be sent a queue length, which then counts as sent: the last one is
+  /// old, or the queue has since doubled or halved.
   pub fn is_due(&mut self, now: Instant, service: &Service, flows: usize) -> bool {
-    let told = self.services.get(service);
-    let due = told.is_none_or(|(at, told)| {
-      let old = now.saturating_duration_since(*at) >= RENEW;
-      old || flows >= 2 * told || 2 * flows <= *told
+    let sent = self.services.get(service);
+    let due = sent.is_none_or(|(at, sent)| {
+      let is_old = now.saturating_duration_since(*at) >= RENEWAL_INTERVAL;
+      is_old || flows >= 2 * sent || 2 * flows <= *sent
     });
     if due {
       self.services.insert(service.clone(), (now, flows));
@@ -30,8 +30,8 @@
     due
   }
 
-  /// No flow of the service waits any more. Agents that grant a place hear it then.
-  pub fn forget(&mut self, service: &Service) {
+  /// Removes a service whose queue is empty. Agents learn of that when they grant a slot.
+  pub fn remove(&mut self, service: &Service) {
     self.services.remove(service);
   }
 }
--- a/src/datagram/balancer/choosing.rs
+++ b/src/datagram/balancer/choosing.rs
@@ -1,8 +1,8 @@
-//! Which target a balancer chooses for a new flow.
+//! Chooses a target for a new flow.
 
 use {
   super::{
-    cost::{Typical, UNLIKELY_MS, is_hasty},
+    cost::{Medians, UNAVAILABLE_MS, is_fast_failing},
     place::Tried,
     targets::Targets,
   },
@@ -12,28 +12,28 @@
   xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Targets whose costs differ by no more are alike, in milliseconds: less than half of what a slot in
-/// use makes, and than what chance makes of the times of the same requests. All balancers hear of the
-/// same loads; those who take the very least all go to one target until its load says otherwise.
-const ALIKE_MS: f64 = 5.0;
+/// Targets whose costs differ by no more than this are equivalent, in milliseconds. All balancers
+/// see the same loads: if each chose the lowest cost, all would choose one target until its load
+/// changed.
+const COST_TOLERANCE_MS: f64 = 5.0;
 
-/// A target for a new flow.
+/// A target for a new flow, with what decides whether the flow is sent there now or queued.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
-  /// Its agent.
+  /// The address of its agent.
   pub agent: SocketAddrV4,
-  /// Whether a request would be worked on at once.
+  /// Whether a request would be processed at once.
   pub is_free: bool,
-  /// Whether its agent keeps a place for the flow.
+  /// Whether its agent has reserved a slot for the flow.
   pub is_granted: bool,
-  /// The time until a request would be answered there, in milliseconds.
+  /// How long a request would take to be answered there, in milliseconds.
   pub wait_ms: f64,
 }
 
 impl Targets {
-  /// The target for a new flow: the one where it waits the least, for whoever is near first; with
-  /// the time until it would be answered there. Where that is more than `limit_ms`, any one where
-  /// it is less is better, however far.
+  /// The target of the lowest cost for a new flow; local ones cost less than remote ones. If a
+  /// request there would wait longer than `limit_ms`, any target with a shorter wait is preferred.
+  /// None if no target accepts new flows.
   pub fn choose(
     &self,
     now: Instant,
@@ -42,8 +42,8 @@
     tried: &Tried,
     limit_ms: f64,
   ) -> Option<Choice> {
-    let typical = self.typical(service);
-    let within = |limit_ms| self.best(now, flow, service, tried, typical, limit_ms);
+    let medians = self.medians(service);
+    let within = |limit_ms| self.best(now, flow, service, tried, medians, limit_ms);
     let best = within(f64::INFINITY)?;
     if best.wait_ms <= limit_ms {
       return Some(best);
@@ -51,91 +51,96 @@
     within(limit_ms).or(Some(best))
   }
 
-  /// Whether a service has a target that may take a new flow, busy or not.
-  pub fn takes(&self, now: Instant, service: &Service) -> bool {
+  /// Whether a service has a target that accepts new flows, busy or not.
+  pub fn accepts(&self, now: Instant, service: &Service) -> bool {
     let agents = self.services.get(service).into_iter().flatten();
-    let mut seen = agents.filter_map(|agent| self.by_agent.get(agent));
-    seen.any(|seen| seen.service == *service && self.cost(now, seen, Typical::default()).is_some())
+    let mut targets = agents.filter_map(|agent| self.by_agent.get(agent));
+    targets.any(|target| {
+      target.service == *service && self.cost(now, target, Medians::default()).is_some()
+    })
   }
 
-  /// One of the least cost, of those where a new flow waits no longer than a limit. The flow decides
-  /// between those that are alike.
+  /// One of the targets of the lowest cost, among those where a request waits no longer than
+  /// `limit_ms`. Equivalent targets are ranked by a hash of the flow.
   fn best(
     &self,
     now: Instant,
     flow: &Flow,
     service: &Service,
     tried: &Tried,
-    typical: Typical,
+    medians: Medians,
     limit_ms: f64,
   ) -> Option<Choice> {
     let agents = self.services.get(service)?.iter();
-    let open = agents.filter(|agent| !tried.contains(agent));
-    let costs = open.filter_map(|agent| {
-      let seen = self.by_agent.get(agent)?;
-      if seen.service != *service {
+    let untried = agents.filter(|agent| !tried.contains(agent));
+    let costs = untried.filter_map(|agent| {
+      let target = self.by_agent.get(agent)?;
+      if target.service != *service {
         return None;
       }
-      if typical.wait_ms(seen) > limit_ms {
+      if medians.wait_ms(target) > limit_ms {
         return None;
       }
-      let cost = self.cost(now, seen, typical)?;
+      let cost = self.cost(now, target, medians)?;
       Some((cost, agent))
     });
     let costs = costs.collect::<SmallVec<[(f64, &SocketAddrV4); 64]>>();
     let least = costs.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
-    let alike = costs.iter().filter(|(cost, _)| *cost <= least + ALIKE_MS);
+    let equivalent = costs
+      .iter()
+      .filter(|(cost, _)| *cost <= least + COST_TOLERANCE_MS);
     let key = flow.key();
-    let (_, agent) = alike.min_by_key(|(_, agent)| rank(key, **agent))?;
-    self.choice_of(**agent, typical)
+    let (_, agent) = equivalent.min_by_key(|(_, agent)| rank(key, **agent))?;
+    self.choice_of(**agent, medians)
   }
 
-  /// A certain target for a new flow.
+  /// The target at an agent as a choice, whatever it costs.
   pub fn choice(&self, agent: SocketAddrV4) -> Option<Choice> {
     let service = self.service(agent)?;
-    self.choice_of(agent, self.typical(service))
+    self.choice_of(agent, self.medians(service))
   }
 
-  fn choice_of(&self, agent: SocketAddrV4, typical: Typical) -> Option<Choice> {
-    let seen = self.by_agent.get(&agent)?;
+  fn choice_of(&self, agent: SocketAddrV4, medians: Medians) -> Option<Choice> {
+    let target = self.by_agent.get(&agent)?;
     Some(Choice {
       agent,
-      is_free: seen.load.work.saturating_add(seen.pending) < seen.slots
-        && !seen.load.is_full(seen.pending),
+      is_free: target.load.work.saturating_add(target.pending) < target.slots
+        && !target.load.is_full(target.pending),
       is_granted: false,
-      wait_ms: typical.wait_ms(seen),
+      wait_ms: medians.wait_ms(target),
     })
   }
 
-  /// The agents of a service's targets that most likely serve.
+  /// The agents of a service's targets that are likely to answer.
   pub fn serving(&self, now: Instant, service: &Service) -> Vec<SocketAddrV4> {
     let agents = self.services.get(service).into_iter().flatten().copied();
-    let here = agents.filter(|agent| self.service(*agent) == Some(service));
-    here.filter(|agent| self.serves(now, *agent)).collect()
+    let listed = agents.filter(|agent| self.service(*agent) == Some(service));
+    listed.filter(|agent| self.serves(now, *agent)).collect()
   }
 
-  /// Whether a target most likely serves: it is listed, heard of, and answers as others do.
+  /// Whether a target is likely to answer: it is listed and alive, opens flows and does not fail
+  /// fast.
   pub fn serves(&self, now: Instant, agent: SocketAddrV4) -> bool {
-    let Some(seen) = self.by_agent.get(&agent) else {
+    let Some(target) = self.by_agent.get(&agent) else {
       return false;
     };
-    if seen.gone.is_some() || is_hasty(seen, self.typical(&seen.service)) {
+    if target.gone.is_some() || is_fast_failing(target, self.medians(&target.service)) {
       return false;
     }
-    let cost = self.cost(now, seen, Typical::default());
-    cost.is_some_and(|cost| cost < UNLIKELY_MS)
+    let cost = self.cost(now, target, Medians::default());
+    cost.is_some_and(|cost| cost < UNAVAILABLE_MS)
   }
 
-  /// How many requests the targets of a service answer in a second, as far as known.
+  /// The requests per second that the targets of a service can answer, from their known loads.
   pub fn rate(&self, now: Instant, service: &Service) -> f64 {
     let warmup = self.warmups.get(service);
     let listed = self.by_agent.values();
-    let listed = listed.filter(|seen| seen.service == *service && seen.gone.is_none());
-    let open = listed.filter(|seen| !self.closures.is_closed(now, &seen.data_centre));
-    let rates = open.map(|seen| {
-      let rate = f64::from(seen.slots) * 1000.0 / seen.load.time_ms();
+    let listed = listed.filter(|target| target.service == *service && target.gone.is_none());
+    let open = listed.filter(|target| !self.closures.is_closed(now, &target.data_centre));
+    let rates = open.map(|target| {
+      let rate = f64::from(target.slots) * 1000.0 / target.load.time_ms();
       match warmup {
-        Some(warmup) if seen.load.room.is_some() => rate.min(f64::from(warmup.per_second)),
+        Some(warmup) if target.load.room.is_some() => rate.min(f64::from(warmup.per_second)),
         _ => rate,
       }
     });
@@ -143,7 +148,7 @@
   }
 }
 
-/// The place of an agent in the order of a flow, the same in every process.
+/// The rank of an agent for a flow, the same in all processes.
 fn rank(flow: u64, agent: SocketAddrV4) -> u64 {
   xxh3_64_with_seed(&agent.ip().octets(), flow)
 }
--- a/src/datagram/balancer/closures.rs
+++ b/src/datagram/balancer/closures.rs
@@ -6,36 +6,38 @@
   },
 };
 
-/// How long an agent's word that its data centre is closed counts: longer than the list takes to say
-/// the same to a balancer that has not heard yet.
-const WORD: Duration = Duration::from_secs(1);
+/// How long an agent's refusal marks its data centre as closed: until the update of the platform's
+/// records has reached this balancer.
+const REFUSAL_TTL: Duration = Duration::from_secs(1);
 
-/// Which data centres are closed to new flows, by the list and by the words of agents that refuse.
+/// The data centres that are closed to new flows, by the platform's records or by refusals of
+/// agents.
 #[derive(Debug, Default)]
 pub struct Closures {
-  /// From when on the list closes each.
+  /// From when on each data centre in the platform's records is closed.
   listed: BTreeMap<String, Instant>,
-  /// When an agent last said so, by its data centre.
-  words: BTreeMap<String, Instant>,
+  /// When an agent of each data centre last refused a flow for this reason.
+  refusals: BTreeMap<String, Instant>,
 }
 
 impl Closures {
-  /// An agent refuses, since its data centre is closed.
-  pub fn hear(&mut self, now: Instant, data_centre: &str) {
-    self.words.insert(data_centre.to_owned(), now);
+  /// Records that an agent refuses flows because its data centre is closed.
+  pub fn record_refusal(&mut self, now: Instant, data_centre: &str) {
+    self.refusals.insert(data_centre.to_owned(), now);
   }
 
-  /// Whether no new flow may go to a data centre.
+  /// Whether new flows may not go to a data centre.
   pub fn is_closed(&self, now: Instant, data_centre: &str) -> bool {
     let listed = self
       .listed
       .get(data_centre)
       .is_some_and(|from| now >= *from);
-    let counts = |at: &Instant| now.saturating_duration_since(*at) < WORD;
-    listed || self.words.get(data_centre).is_some_and(counts)
+    let is_recent = |at: &Instant| now.saturating_duration_since(*at) < REFUSAL_TTL;
+    listed || self.refusals.get(data_centre).is_some_and(is_recent)
   }
 
-  /// Takes the list as it is now; what is new there closes from a moment on.
+  /// Takes over the closed data centres of the platform's records; new ones are closed from `from`
+  /// on.
   pub fn update(&mut self, listed: &datagram::Closures, from: Instant) {
     self.listed.retain(|name, _| listed.is_closed(name));
     for name in listed.closed() {
--- a/src/datagram/balancer/egress.rs
+++ b/src/datagram/balancer/egress.rs
@@ -6,129 +6,130 @@
   },
 };
 
-/// How much the link may have to send of what has left already: a link of 2 Mbit/s dropped all
-/// beyond 50 ms (ten of each window of 16 packets arrived, by the agents' logs).
-const AHEAD: Duration = Duration::from_millis(15);
+/// How much may be in the link's own queue, as sending time; beyond its limit the link drops
+/// packets.
+const LINK_QUEUE_MAX: Duration = Duration::from_millis(15);
 
-/// The part of the link's rate that is counted on: the rest is for what the packet thread does not
-/// send, and for the heads of the network's own.
-const PART: f64 = 0.9;
+/// The fraction of the link's rate that is used; the rest is for lower-layer headers and for
+/// traffic of other threads.
+const LINK_SHARE: f64 = 0.9;
 
-/// From how many bytes of data on a packet waits for the link. Smaller ones, opening packets and
-/// what processes tell each other go before.
-const LARGE: u16 = 512;
+/// From this many bytes of data on, a packet is queued while the link is busy. Smaller packets,
+/// opening packets and frames between processes are not.
+const LARGE_BYTES: u16 = 512;
 
-/// What may wait at most: as much as the link carries in this time, after which callers send again.
-const ROOM: Duration = Duration::from_millis(1500);
+/// The capacity of the queue, as sending time: after this, callers have retransmitted.
+const CAPACITY: Duration = Duration::from_millis(1500);
 
-/// A caller's packet that waits for the link.
+/// A caller's packet in the queue.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-  /// What it says.
+pub struct QueuedPacket {
+  /// Its parsed header.
   pub head: Head,
-  /// The packet.
+  /// Its bytes, with the header.
   pub packet: Vec<u8>,
 }
 
-/// What leaves over the instance's link, and the large packets of callers that wait for it. They
-/// arrive a window at a time, as fast as the fabric sends them; what leaves faster than a thin link
-/// carries is lost and sent again after 200 ms and more, and all others are lost with it.
+/// Paces the large packets of callers to the rate of the instance's link. Callers send a window at
+/// once; without pacing, a slow link drops most of it, and other packets with it.
 #[derive(Debug)]
 pub struct Egress {
-  /// The bytes that have left and are not sent yet, at the time below.
-  ahead: f64,
-  at: Instant,
-  bytes: usize,
-  /// What waits: a packet that is sent again meanwhile need not wait twice.
-  known: HashSet<(Flow, u32)>,
-  queue: VecDeque<Waiting>,
+  /// The bytes in the link's own queue as of `updated`.
+  link_bytes: f64,
+  queue: VecDeque<QueuedPacket>,
+  /// Flows and sequence numbers in the queue, to drop retransmissions.
+  queued: HashSet<(Flow, u32)>,
+  queued_bytes: usize,
   rate: Option<Rate>,
+  updated: Instant,
 }
 
 impl Egress {
-  /// An idle link; nothing waits where its rate is not known.
+  /// An idle link; packets are not paced if `rate` is none.
   pub fn new(now: Instant, rate: Option<Rate>) -> Self {
     Self {
-      ahead: 0.0,
-      at: now,
-      bytes: 0,
-      known: HashSet::new(),
+      link_bytes: 0.0,
       queue: VecDeque::new(),
+      queued: HashSet::new(),
+      queued_bytes: 0,
       rate,
+      updated: now,
     }
   }
 
-  /// When the first packet may leave; none where none waits.
+  /// When the first packet in the queue may be sent; none if the queue is empty.
   pub fn deadline(&self) -> Option<Instant> {
     let rate = self.rate.filter(|_| !self.queue.is_empty())?;
-    let over = (self.ahead - rate.bytes_in(AHEAD)).max(0.0);
-    Some(self.at + Duration::from_secs_f64(over / (rate.bytes_in(Duration::from_secs(1)) * PART)))
+    let excess = (self.link_bytes - rate.bytes_in(LINK_QUEUE_MAX)).max(0.0);
+    Some(
+      self.updated
+        + Duration::from_secs_f64(excess / (rate.bytes_in(Duration::from_secs(1)) * LINK_SHARE)),
+    )
   }
 
-  /// Whether a packet has to wait.
-  pub fn holds(&mut self, now: Instant, head: &Head) -> bool {
-    self.paces(head) && (!self.queue.is_empty() || !self.is_open(now))
+  /// Whether a packet has to be queued now.
+  pub fn must_queue(&mut self, now: Instant, head: &Head) -> bool {
+    self.is_paced(head) && (!self.queue.is_empty() || !self.has_capacity(now))
   }
 
-  /// Whether a packet is one that waits while the link is busy.
-  pub fn paces(&self, head: &Head) -> bool {
-    self.rate.is_some() && head.data >= LARGE
+  /// Whether packets of this kind are queued while the link is busy.
+  pub fn is_paced(&self, head: &Head) -> bool {
+    self.rate.is_some() && head.data >= LARGE_BYTES
   }
 
-  /// How many packets wait.
+  /// How many packets are queued.
   pub fn len(&self) -> usize {
     self.queue.len()
   }
 
-  /// So many bytes leave.
+  /// Accounts for bytes that were sent.
   pub fn charge(&mut self, now: Instant, bytes: usize) {
-    self.pass(now);
-    self.ahead += bytes as f64;
+    self.update(now);
+    self.link_bytes += bytes as f64;
   }
 
-  /// Lets a packet wait; false where it cannot. One that waits already counts as taken.
+  /// Queues a packet; false if the queue is full. A retransmission of a queued packet is dropped
+  /// and counts as queued.
   pub fn push(&mut self, head: Head, packet: &[u8]) -> bool {
-    let most = self.rate.map_or(0.0, |rate| rate.bytes_in(ROOM));
+    let capacity = self.rate.map_or(0.0, |rate| rate.bytes_in(CAPACITY));
     let key = (head.flow, head.sequence);
-    if self.known.contains(&key) {
+    if self.queued.contains(&key) {
       return true;
     }
-    if self.bytes as f64 >= most {
+    if self.queued_bytes as f64 >= capacity {
       return false;
     }
-    self.known.insert(key);
-    self.bytes += packet.len();
+    self.queued.insert(key);
+    self.queued_bytes += packet.len();
     let packet = packet.to_vec();
-    self.queue.push_back(Waiting { head, packet });
+    self.queue.push_back(QueuedPacket { head, packet });
     true
   }
 
-  /// The next packet that may leave.
-  pub fn pop(&mut self, now: Instant) -> Option<Waiting> {
-    if !self.is_open(now) {
+  /// Takes the next packet off the queue; none if the link is busy or the queue is empty.
+  pub fn pop(&mut self, now: Instant) -> Option<QueuedPacket> {
+    if !self.has_capacity(now) {
       return None;
     }
-    let waiting = self.queue.pop_front()?;
-    self.bytes -= waiting.packet.len();
-    self
-      .known
-      .remove(&(waiting.head.flow, waiting.head.sequence));
-    Some(waiting)
+    let next = self.queue.pop_front()?;
+    self.queued_bytes -= next.packet.len();
+    self.queued.remove(&(next.head.flow, next.head.sequence));
+    Some(next)
   }
 
-  fn is_open(&mut self, now: Instant) -> bool {
-    self.pass(now);
+  fn has_capacity(&mut self, now: Instant) -> bool {
+    self.update(now);
     self
       .rate
-      .is_none_or(|rate| self.ahead <= rate.bytes_in(AHEAD))
+      .is_none_or(|rate| self.link_bytes <= rate.bytes_in(LINK_QUEUE_MAX))
   }
 
-  fn pass(&mut self, now: Instant) {
+  fn update(&mut self, now: Instant) {
     let Some(rate) = self.rate else {
       return;
     };
-    let time = now.saturating_duration_since(self.at);
-    self.at = self.at.max(now);
-    self.ahead = (self.ahead - rate.bytes_in(time) * PART).max(0.0);
+    let time = now.saturating_duration_since(self.updated);
+    self.updated = self.updated.max(now);
+    self.link_bytes = (self.link_bytes - rate.bytes_in(time) * LINK_SHARE).max(0.0);
   }
 }
--- a/src/datagram/balancer/ending.rs
+++ b/src/datagram/balancer/ending.rs
@@ -1,4 +1,4 @@
-//! How a balancer ends flows that are nowhere.
+//! Resets flows that no agent owns.
 
 use {
   super::{
@@ -12,13 +12,13 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// The service of a flow that nobody has.
-const NOWHERE: Digest = Digest(0);
+/// The service of lost flows, which belong to none.
+const NO_SERVICE: Digest = Digest(0);
 
 impl<C: Codec> Machine<C> {
-  /// Flows were open at an agent's upstream, which has forgotten them. Nobody else can have them, so that
-  /// their callers are told without a search.
-  pub(super) fn lost(
+  /// Resets flows that an agent's upstream has lost in a restart. No other agent can own them, so
+  /// that no search is needed.
+  pub(super) fn reset_lost_flows(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -32,13 +32,13 @@
       if self.flows.get(flow).is_some_and(elsewhere) {
         continue;
       }
-      let search = self.end_search(flow).map(|search| search.acknowledges);
-      let sent = head.filter(|head| head.flow == *flow);
-      let acknowledges = sent.map(|head| head.acknowledges).or(search);
-      log::info!(flow:% = flow, from:% = from; "balancer: flow is lost and is reset.");
+      let from_search = self.end_search(flow).map(|search| search.acknowledges);
+      let returned = head.filter(|head| head.flow == *flow);
+      let acknowledges = returned.map(|head| head.acknowledges).or(from_search);
+      log::info!(flow:% = flow, from:% = from; "balancer: upstream has lost the flow.");
       match acknowledges {
-        Some(acknowledges) => self.bury(now, *flow, acknowledges, out),
-        // Its caller's next packet is searched for.
+        Some(acknowledges) => self.mark_dead(now, *flow, acknowledges, out),
+        // The caller's next packet starts a search.
         None => {
           self.flows.remove(flow);
         }
@@ -46,13 +46,19 @@
     }
   }
 
-  /// A flow is nowhere: its caller is told, now and with each packet that still comes.
-  pub(super) fn bury(&mut self, now: Instant, flow: Flow, acknowledges: u32, out: &mut Outbox) {
+  /// Marks a flow as lost and resets it now and at each further packet.
+  pub(super) fn mark_dead(
+    &mut self,
+    now: Instant,
+    flow: Flow,
+    acknowledges: u32,
+    out: &mut Outbox,
+  ) {
     self.counter.count(Code::FlowUnknown);
     let place = Place {
       agent: self.spread.address(),
-      seen: now,
-      service: NOWHERE,
+      last_packet: now,
+      service: NO_SERVICE,
       state: State::Dead,
     };
     self.flows.insert(flow, place);
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -1,7 +1,7 @@
-//! What a balancer does with the frames and the news of others.
+//! Handles frames of agents and other balancers, and updates of the platform's records.
 
 use {
-  super::{machine::Machine, targets::Run},
+  super::{machine::Machine, targets::IncarnationChange},
   crate::{
     Code,
     datagram::{
@@ -26,20 +26,20 @@
       Frame::AskPast => self.tell_past(now, from, out),
       Frame::Absent {
         flows, lost: true, ..
-      } => self.lost(now, from, &flows, packet, out),
-      Frame::Absent { flows, known, .. } => self.absent(now, from, &flows, &known, packet, out),
+      } => self.reset_lost_flows(now, from, &flows, packet, out),
+      Frame::Absent { flows, known, .. } => self.deny_flows(now, from, &flows, &known, packet, out),
       Frame::Ask { .. }
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
       | Frame::Fan { .. }
       | Frame::Held { .. }
       | Frame::Try { .. } => return Err(Code::FrameWrongTarget),
-      Frame::Found { flow, service } => self.found(now, from, flow, service, out),
-      Frame::Grant(load) => self.granted(now, from, load, out),
+      Frame::Found { flow, service } => self.complete_search(now, from, flow, service, out),
+      Frame::Grant(load) => self.accept_grant(now, from, load, out),
       Frame::Handover { flows, part, parts } => {
         let handed = self.handed.entry(from).or_default();
         handed.take(now, part, parts, flows);
-        self.absences.begin(now, from);
+        self.restarts.begin(now, from);
       }
       Frame::Past {
         known,
@@ -50,21 +50,21 @@
       } => {
         self.targets.remember(now, &past);
         self.spread.remember(now, &led);
-        self.history.take(now, from, part, parts, known);
-        self.conclude_answered(now, out);
+        self.history.add_part(now, from, part, parts, known);
+        self.conclude_denied(now, out);
       }
       Frame::News(news) => self.take_news(now, Origin::Peer(from), news, out),
-      Frame::Opened(flow, load) => self.opened(now, from, flow, load),
+      Frame::Opened(flow, load) => self.complete_opening(now, from, flow, load),
       Frame::Refused(flow, refusal, load) => {
-        self.refused(now, from, flow, refusal, load, out);
+        self.retry_refused(now, from, flow, refusal, load, out);
       }
-      Frame::Status(status) => self.status(now, from, &status, out),
-      Frame::Unsure { flows, service } => self.unsure(now, from, &flows, service, out),
+      Frame::Status(status) => self.take_status(now, from, &status, out),
+      Frame::Unsure { flows, service } => self.record_unsure(now, from, &flows, service, out),
     }
     Ok(())
   }
 
-  pub(super) fn status(
+  pub(super) fn take_status(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -76,45 +76,48 @@
       self.ask_past(now, from, out);
       return;
     };
-    let run = self.targets.status(now, from, status, load);
-    if run == Run::Next {
-      self.remind(now, from, out);
+    let change = self.targets.record_status(now, from, status, load);
+    if change == IncarnationChange::Restarted {
+      self.restore_flows(now, from, out);
     }
-    if run != Run::Known {
-      self.returned(now, from, out);
-      self.ask_new(now, from);
+    if change != IncarnationChange::Same {
+      self.release_buffered(now, from, out);
+      self.query_restarted(now, from);
     }
   }
 
   pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
     let change = self.spread.news(now, origin, news, out);
-    self.changed(now, &change);
-    self.conclude_answered(now, out);
+    self.apply_change(now, &change);
+    self.conclude_denied(now, out);
   }
 
-  pub(super) fn changed(&mut self, now: Instant, change: &Change) {
+  pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
     if change.closures {
       let listed = self.spread.catalog().closures();
-      let from = now + self.spread.closing_left().mul_f64(self.closing_part);
+      let from = now + self.spread.closing_left().mul_f64(self.evacuation_part);
       self.targets.closures.update(listed, from);
     }
     if !change.is_empty() {
       self.targets.update(self.spread.catalog());
     }
     if change.configuration {
-      self.rank_routes();
+      self.update_lowest_priorities();
     }
   }
 
-  fn rank_routes(&mut self) {
-    self.lowest.clear();
+  fn update_lowest_priorities(&mut self) {
+    self.lowest_priorities.clear();
     let configuration = self.spread.catalog().configuration();
     for route in configuration
       .into_iter()
-      .flat_map(|held| held.routes.values())
+      .flat_map(|configuration| configuration.routes.values())
     {
       for backend in route.backends.taking() {
-        let lowest = self.lowest.entry(backend.service.clone()).or_default();
+        let lowest = self
+          .lowest_priorities
+          .entry(backend.service.clone())
+          .or_default();
         *lowest = route.priority.max(*lowest);
       }
     }
--- a/src/datagram/balancer/history.rs
+++ b/src/datagram/balancer/history.rs
@@ -4,35 +4,37 @@
   time::{Duration, Instant},
 };
 
-/// How often a balancer is asked that has not answered: a few times before its next word of itself.
-const AGAIN: Duration = Duration::from_millis(150);
+/// When a peer that has not answered is sent the request again; shorter than the interval of
+/// statuses.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long an answer may be on its way in parts.
-const TOGETHER: Duration = Duration::from_secs(1);
+/// The longest time between two parts of an answer.
+const PARTS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Up to how many peers all are waited for.
-const FEW: usize = 8;
+/// Up to this many peers, all must answer; of more, at least this many.
+const FEW_PEERS: usize = 8;
 
-/// How long one of many is waited for at most: longer than each needs to speak twice.
-const LONGEST: Duration = Duration::from_millis(1500);
+/// How long the answers of more than `FEW_PEERS` are waited for; longer than two intervals of
+/// statuses.
+const ANSWERS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a process counts as one that has just started: as long as others that lost power with it
-/// may take to be back.
-const YOUNG: Duration = Duration::from_secs(10);
+/// How long a process counts as starting: as long as others that lost power with it may take to be
+/// back.
+const STARTING: Duration = Duration::from_secs(10);
 
-/// What a balancer has heard of a peer's memory.
+/// A peer's answer to a request for its history.
 #[derive(Clone, Debug)]
 struct Answer {
-  asked: Instant,
-  /// When the newest part came, and all parts that did.
+  /// Whether all parts have come.
+  is_finished: bool,
+  /// When the newest part came, and the numbers of all that have come.
   parts: Option<(Instant, BTreeSet<u16>)>,
-  /// Whether the peer has said all that it remembers.
-  whole: bool,
+  requested: Instant,
 }
 
-/// Whether a balancer knows which targets left the list before it started. The platform names only
-/// those that are listed, and one that is not may live and have flows: until its peers have told,
-/// the no of all that are known is no proof that a flow is nowhere.
+/// Whether a balancer knows which targets were removed from the target list before it started. Such
+/// a target may still run and own flows. Until peers have sent their history, a flow that all known
+/// agents deny is not proved to be lost.
 #[derive(Debug)]
 pub struct History {
   answers: BTreeMap<SocketAddrV4, Answer>,
@@ -41,7 +43,8 @@
 }
 
 impl History {
-  /// The history of a process that has just started; nothing was before the system's `first_start`.
+  /// The history of a process that has just started. It is known to be empty on the `first_start`
+  /// of the whole system.
   pub fn new(now: Instant, first_start: bool) -> Self {
     Self {
       answers: BTreeMap::new(),
@@ -50,69 +53,76 @@
     }
   }
 
-  /// Whether a balancer is to be asked now for what it remembers.
-  pub fn asks(&mut self, now: Instant, peer: SocketAddrV4) -> bool {
+  /// Whether a peer is due to be sent a request for its history, which then counts as sent.
+  pub fn take_due(&mut self, now: Instant, peer: SocketAddrV4) -> bool {
     if self.known {
       return false;
     }
-    let asked = Answer {
-      asked: now,
+    let request = Answer {
+      is_finished: false,
       parts: None,
-      whole: false,
+      requested: now,
     };
     let Some(answer) = self.answers.get_mut(&peer) else {
-      self.answers.insert(peer, asked);
+      self.answers.insert(peer, request);
       return true;
     };
-    let due = !answer.whole && now.saturating_duration_since(answer.asked) >= AGAIN;
+    let due =
+      !answer.is_finished && now.saturating_duration_since(answer.requested) >= RETRY_INTERVAL;
     if due {
-      answer.asked = now;
+      answer.requested = now;
     }
     due
   }
 
-  /// Whether all is known that left the list in the lifetime of the flows.
+  /// Whether all targets are known that were removed within the lifetime of a flow.
   pub fn is_known(&self) -> bool {
     self.known
   }
 
-  /// Whether enough of `peers` have said what they remember: all of them where they are few, and
-  /// half of many. Those of a process that starts among others know all; where all have lost their
-  /// memory at once, waiting for the last of 58 took 3.5 s, and callers of dead flows had gone.
-  pub fn is_told(&self, now: Instant, peers: impl Iterator<Item = SocketAddrV4>) -> bool {
+  /// Whether enough of `peers` have sent their history: all of a few, half of many. If all
+  /// processes have lost it at once, waiting for the last of many peers takes longer than callers
+  /// wait.
+  pub fn is_complete(&self, now: Instant, peers: impl Iterator<Item = SocketAddrV4>) -> bool {
     if self.known {
       return true;
     }
-    let (mut asked, mut told) = (0, 0);
+    let (mut total, mut answered) = (0, 0);
     for peer in peers {
-      asked += 1;
-      told += usize::from(self.answers.get(&peer).is_some_and(|answer| answer.whole));
+      total += 1;
+      answered += usize::from(
+        self
+          .answers
+          .get(&peer)
+          .is_some_and(|answer| answer.is_finished),
+      );
     }
-    let enough = told >= FEW && 2 * told >= asked;
-    let long = now.saturating_duration_since(self.started) >= LONGEST;
-    told == asked || enough || (long && asked > FEW)
+    let is_majority = answered >= FEW_PEERS && 2 * answered >= total;
+    let is_late = now.saturating_duration_since(self.started) >= ANSWERS_TIMEOUT;
+    answered == total || is_majority || (is_late && total > FEW_PEERS)
   }
 
-  /// Whether the process has started lately.
-  pub fn is_young(&self, now: Instant) -> bool {
-    now.saturating_duration_since(self.started) < YOUNG
+  /// Whether the process has started recently.
+  pub fn is_starting(&self, now: Instant) -> bool {
+    now.saturating_duration_since(self.started) < STARTING
   }
 
-  /// A balancer answers, in parts; `known` where it knows all that left the list.
-  pub fn take(&mut self, now: Instant, peer: SocketAddrV4, part: u16, parts: u16, known: bool) {
+  /// Adds one of the `parts` of a peer's answer; `known` if the peer itself knows the whole
+  /// history.
+  pub fn add_part(&mut self, now: Instant, peer: SocketAddrV4, part: u16, parts: u16, known: bool) {
     let Some(answer) = self.answers.get_mut(&peer) else {
       return;
     };
-    let old = |at: Instant| now.saturating_duration_since(at) >= TOGETHER;
-    let before = answer.parts.take().filter(|(at, _)| !old(*at));
-    let (_, mut taken) = before.unwrap_or((now, BTreeSet::new()));
-    taken.insert(part);
-    answer.whole |= taken.len() >= usize::from(parts);
-    answer.parts = Some((now, taken));
-    self.known |= known && answer.whole;
+    let is_old = |at: Instant| now.saturating_duration_since(at) >= PARTS_TIMEOUT;
+    let before = answer.parts.take().filter(|(at, _)| !is_old(*at));
+    let (_, mut received) = before.unwrap_or((now, BTreeSet::new()));
+    received.insert(part);
+    answer.is_finished |= received.len() >= usize::from(parts);
+    answer.parts = Some((now, received));
+    self.known |= known && answer.is_finished;
   }
 
-  /// Time passes: what left the list before the oldest flow began no longer counts.
+  /// Marks the history as known once the process has run for longer than a flow lives.
   pub fn expire(&mut self, now: Instant, life: Duration) {
     self.known |= now.saturating_duration_since(self.started) >= life;
     if self.known {
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -1,12 +1,12 @@
 use {
   super::{
-    absences::Absences,
     announced::Announced,
     egress::Egress,
     history::History,
     parking::Parking,
     place::{Place, State},
     questions::Questions,
+    restarts::Restarts,
     search::Search,
     targets::Targets,
     trying::TRY_EVERY,
@@ -28,64 +28,63 @@
   },
 };
 
-/// How many targets one copy of an opening packet is sent to at most, one after another.
-pub(super) const TRIES_MAX: usize = 4;
+/// How many targets one transmission of an opening packet is sent to, one after another.
+pub(super) const TARGETS_MAX: usize = 4;
 
-/// How often what is long past is forgotten.
-const EXPIRE: Duration = Duration::from_secs(2);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// After so much delay of a deadline the process counts as having stood still: what has arrived
-/// goes before a deadline by 50 ms at most.
+/// A timer that fires this late shows that the process was paused. Longer than the 50 ms for which
+/// received packets may delay a timer.
 const STILL: Duration = Duration::from_millis(150);
 
-/// How long the flows of an agent that has stopped are kept for its next run.
+/// How long the handover of a stopped agent is kept for its next incarnation.
 const HANDED_KEPT: Duration = Duration::from_secs(30);
 
-/// Decides where a balancer sends the packets of callers.
+/// The state of a balancer, without I/O or clock of its own.
 pub struct Machine<C> {
-  pub(super) absences: Absences,
   pub(super) announced: Announced,
-  /// Flows that all agents have said no of, before the list or the past was known.
-  pub(super) answered: BTreeSet<Flow>,
-  /// Whether it was told of the time once: what a start takes is no standstill.
-  pub(super) begun: bool,
-  /// The part of the time over which new flows are taken from a closed data centre after which this
-  /// balancer does: each has its own. Where all do it at once while callers press, the other data
-  /// centres fill up: 1.0% of feeds were late instead of 0.2% (by what callers saw).
-  pub(super) closing_part: f64,
+  /// The bytes of packets that are buffered while their flows are searched for.
+  pub(super) buffered_bytes: usize,
   pub(super) codec: C,
   pub(super) counter: Arc<Counter>,
+  /// Flows that all queried agents have denied while this process may not know all targets yet.
+  pub(super) denied: BTreeSet<Flow>,
   pub(super) egress: Egress,
-  pub(super) expired: Instant,
+  /// This balancer's share of the evacuation period, 0 to 1, after which it sends no more new flows
+  /// to a closed data centre. It differs between balancers, so that the other data centres don't
+  /// get all the load at once.
+  pub(super) evacuation_part: f64,
   pub(super) flows: HashMap<Flow, Place>,
-  /// What agents that stopped had, by their last word.
+  /// Flows of agents that have stopped gracefully, by agent.
   pub(super) handed: HashMap<SocketAddrV4, Handover>,
+  /// Whether timers have run once: a slow start is not a stall.
+  pub(super) has_run: bool,
   pub(super) history: History,
-  /// How many bytes of packets wait for their flows to be found.
-  pub(super) held_bytes: usize,
-  /// The lowest priority of each service's routes; 0 is the highest.
-  pub(super) lowest: HashMap<Service, u8>,
-  /// The opening packets that wait for an answer, by their deadlines.
-  pub(super) openings: BTreeSet<(Instant, Flow)>,
+  pub(super) last_expiry: Instant,
+  /// When a packet of each flow was last sent to an agent as a test.
+  pub(super) last_tested: HashMap<Flow, Instant>,
+  /// The lowest priority among each service's routes; 0 is the highest priority.
+  pub(super) lowest_priorities: HashMap<Service, u8>,
+  /// When opening packets that are not answered time out.
+  pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) parking: Parking,
   pub(super) patience: Patience,
   pub(super) port: u16,
-  /// What is to be asked of agents.
   pub(super) questions: Questions,
+  pub(super) restarts: Restarts,
+  /// When searches that are not answered time out.
+  pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) searches: HashMap<Flow, Search>,
-  /// The searches by their deadlines.
-  pub(super) searching: BTreeSet<(Instant, Flow)>,
   pub(super) spread: Spread,
+  /// Until when opening packets may be older than they seem, after a stall of this process.
+  pub(super) stale_until: Instant,
   pub(super) targets: Targets,
-  /// When a packet of a flow was last given to an agent to try.
-  pub(super) tried: HashMap<Flow, Instant>,
   pub(super) tuning: Tuning,
-  /// Until when opening packets may be older than they seem: the process stood still.
-  pub(super) unsure_until: Instant,
 }
 
 impl<C: Codec> Machine<C> {
-  /// The machine of a balancer that has just started.
+  /// Creates the state of a balancer that has just started and knows no target. `incarnation` must
+  /// differ from those of its previous incarnations.
   pub fn new(
     now: Instant,
     settings: &Settings,
@@ -96,70 +95,73 @@
   ) -> Self {
     let spread = Spread::new(now, settings, true, incarnation, tuning);
     Self {
-      absences: Absences::default(),
       announced: Announced::default(),
-      answered: BTreeSet::new(),
-      begun: false,
-      closing_part: f64::from(incarnation % 1000) / 1000.0,
+      buffered_bytes: 0,
       codec,
       counter,
+      denied: BTreeSet::new(),
       egress: Egress::new(now, settings.link),
-      expired: now,
+      evacuation_part: f64::from(incarnation % 1000) / 1000.0,
       flows: HashMap::new(),
       handed: HashMap::new(),
+      has_run: false,
       history: History::new(now, settings.first_start),
-      held_bytes: 0,
-      lowest: HashMap::new(),
-      openings: BTreeSet::new(),
+      last_expiry: now,
+      last_tested: HashMap::new(),
+      lowest_priorities: HashMap::new(),
+      opening_deadlines: BTreeSet::new(),
       parking: Parking::new(now),
       patience: Patience::new(tuning.open_wait, tuning.open_wait),
       port: settings.callers.port(),
       questions: Questions::new(now, settings.link),
+      restarts: Restarts::default(),
+      search_deadlines: BTreeSet::new(),
       searches: HashMap::new(),
-      searching: BTreeSet::new(),
       spread,
+      stale_until: now,
       targets: Targets::new(
         now,
         settings.data_centre.clone(),
         settings.peers.port(),
         &tuning,
       ),
-      tried: HashMap::new(),
       tuning,
-      unsure_until: now,
     }
   }
 
-  /// Notices that the process stood still: what waits in its sockets may be from before that, and
-  /// a caller's next copies may have gone to other balancers meanwhile.
+  /// Checks whether the process was paused. If it was, packets in its sockets may be old, and their
+  /// callers may have retransmitted to other balancers meanwhile.
   pub(super) fn wake(&mut self, now: Instant) {
-    let late = now.saturating_duration_since(self.next_deadline());
-    if late < STILL || !self.begun {
+    let delay = now.saturating_duration_since(self.next_deadline());
+    if delay < STILL || !self.has_run {
       return;
     }
-    if now >= self.unsure_until {
-      log::info!(late:? = late; "balancer: process stood still.");
+    if now >= self.stale_until {
+      log::info!(delay:? = delay; "balancer: process was paused.");
     }
-    self.unsure_until = now + C::PATIENCE;
+    self.stale_until = now + C::PATIENCE;
   }
 
-  /// Counts what an event has put into `out` on the link.
-  fn charged(&mut self, now: Instant, before: usize, out: &Outbox) {
+  /// Accounts for the bytes that an event has added to `out`, which held `before` bytes.
+  fn charge_link(&mut self, now: Instant, before: usize, out: &Outbox) {
     self.egress.charge(now, out.size() - before);
   }
 
   fn next_deadline(&self) -> Instant {
-    let opening = self.openings.first().map(|(deadline, _)| *deadline);
-    let search = self.searching.first().map(|(deadline, _)| *deadline);
+    let opening = self
+      .opening_deadlines
+      .first()
+      .map(|(deadline, _)| *deadline);
+    let search = self.search_deadlines.first().map(|(deadline, _)| *deadline);
     let status = self.spread.deadline();
     let parked = self.parking.deadline();
     let egress = self.egress.deadline();
-    let absent = self.absences.deadline();
+    let restart = self.restarts.deadline();
     [
-      absent,
       egress,
       opening,
       parked,
+      restart,
       search,
       self.questions.deadline(),
     ]
@@ -168,31 +170,32 @@
     .fold(status, Instant::min)
   }
 
+  /// Runs all timers that are due.
   pub(super) fn look(&mut self, now: Instant, out: &mut Outbox) {
     self.wake(now);
-    self.begun = true;
-    while let Some((deadline, flow)) = self.openings.first().copied() {
+    self.has_run = true;
+    while let Some((deadline, flow)) = self.opening_deadlines.first().copied() {
       if deadline > now {
         break;
       }
-      self.openings.pop_first();
-      self.unanswered(now, deadline, flow, out);
+      self.opening_deadlines.pop_first();
+      self.time_out_opening(now, deadline, flow, out);
     }
     self.ask_all_past(now, out);
-    self.conclude_answered(now, out);
-    while let Some((deadline, flow)) = self.searching.first().copied() {
+    self.conclude_denied(now, out);
+    while let Some((deadline, flow)) = self.search_deadlines.first().copied() {
       if deadline > now {
         break;
       }
-      self.searching.pop_first();
-      self.search_over(now, flow, out);
+      self.search_deadlines.pop_first();
+      self.retry_search(now, flow, out);
     }
-    self.release(now, out);
-    self.await_absent(now, out);
+    self.place_queued(now, out);
+    self.poll_restarts(now, out);
     let complete = self.spread.catalog().complete();
     self.questions.send(now, complete, out);
-    if now >= self.expired + EXPIRE {
-      self.expired = now;
+    if now >= self.last_expiry + EXPIRY_INTERVAL {
+      self.last_expiry = now;
       self.expire(now);
     }
     if now >= self.spread.deadline() {
@@ -203,17 +206,17 @@
 
   pub(super) fn expire(&mut self, now: Instant) {
     let idle = self.spread.idle();
-    let dead = self.tuning.dead;
+    let dead_ttl = self.tuning.dead;
     self.flows.retain(|_, place| {
-      let kept = if matches!(place.state, State::Dead) {
-        dead
+      let ttl = if matches!(place.state, State::Dead) {
+        dead_ttl
       } else {
         idle
       };
-      now.saturating_duration_since(place.seen) < kept
+      now.saturating_duration_since(place.last_packet) < ttl
     });
     let recent = |at: &mut Instant| now.saturating_duration_since(*at) < TRY_EVERY;
-    self.tried.retain(|_, at| recent(at));
+    self.last_tested.retain(|_, at| recent(at));
     self
       .handed
       .retain(|_, handed| handed.age(now) < HANDED_KEPT);
@@ -254,13 +257,13 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let before = out.size();
-    let taken = self.take_frame(now, from, bytes, out);
-    self.charged(now, before, out);
-    self.send_waiting(now, out);
-    taken
+    let result = self.take_frame(now, from, bytes, out);
+    self.charge_link(now, before, out);
+    self.drain_egress(now, out);
+    result
   }
 
-  /// Callers' packets come until the fabric leads them elsewhere.
+  /// Always false: packets arrive until the fabric routes them to other balancers.
   fn is_quiet(&self) -> bool {
     false
   }
@@ -268,15 +271,15 @@
   fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
     let before = out.size();
     self.take_news(now, origin, news, out);
-    self.charged(now, before, out);
+    self.charge_link(now, before, out);
   }
 
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code> {
     let before = out.size();
-    let taken = self.take_packet(now, packet, out);
-    self.charged(now, before, out);
-    self.send_waiting(now, out);
-    taken
+    let result = self.take_packet(now, packet, out);
+    self.charge_link(now, before, out);
+    self.drain_egress(now, out);
+    result
   }
 
   fn spread(&mut self) -> &mut Spread {
@@ -290,7 +293,7 @@
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
     let before = out.size();
     self.look(now, out);
-    self.charged(now, before, out);
-    self.send_waiting(now, out);
+    self.charge_link(now, before, out);
+    self.drain_egress(now, out);
   }
 }
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -1,9 +1,9 @@
-//! How a balancer opens flows.
+//! Opens flows: sends opening packets to targets and handles their answers.
 
 use {
   super::{
     choosing::Choice,
-    machine::{Machine, TRIES_MAX},
+    machine::{Machine, TARGETS_MAX},
     parking::Lane,
     place::{Opening, Place, State, Tried},
   },
@@ -18,7 +18,7 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// An opening packet came.
+  /// Sends an opening packet to a target, or again to the one that a retransmission belongs to.
   pub(super) fn open(
     &mut self,
     now: Instant,
@@ -27,33 +27,33 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let mut opening = Opening::new::<C>(now, head, packet);
-    opening.may_be_open |= now < self.unsure_until;
+    opening.may_be_open |= now < self.stale_until;
     self.end_search(&head.flow);
     let route = self.spread.catalog().route(&head.flow.route);
-    let takes = |service| route.is_some_and(|route| route.backends.takes_digest(service));
+    let is_routed_to = |service| route.is_some_and(|route| route.backends.takes_digest(service));
     if let Some(place) = self.flows.get_mut(&head.flow) {
       let (agent, service) = (place.agent, place.service);
       match &mut place.state {
         State::Dead => {}
-        State::Open | State::Opening(_) if !takes(service) => {
-          // A configuration has led the address elsewhere since.
+        State::Open | State::Opening(_) if !is_routed_to(service) => {
+          // The address was routed to another service meanwhile.
           opening.may_be_open = true;
         }
         State::Open => {
-          // The answer of its target was lost on the way, or is.
-          place.seen = now;
+          // The target's answer to the caller was lost or is still on its way.
+          place.last_packet = now;
           self.carry(agent, Purpose::Open, service, packet, out);
           return Ok(());
         }
         State::Opening(before) if now < before.deadline => {
-          // Whoever was asked may still answer; its answer to the caller may have been lost.
+          // The target may still answer, or its answer to the caller was lost.
           before.may_be_open = true;
           self.carry(agent, Purpose::Open, service, packet, out);
           return Ok(());
         }
         State::Opening(before) => opening.tried = std::mem::take(&mut before.tried),
         State::Parked(_, before) => {
-          before.take_copy(head.acknowledges, opening.packet);
+          before.record_retransmission(head.acknowledges, opening.packet);
           return Ok(());
         }
       }
@@ -64,9 +64,8 @@
     self.place(now, head.flow, opening, out)
   }
 
-  /// The service that a new flow belongs to: by the weights of its address, of those that have a target
-  /// which may take it, so that no caller is turned away while others of the set serve. One whose
-  /// targets are only busy keeps its share.
+  /// The service of a new flow: drawn by the weights of its address, among the services that have a
+  /// target which accepts new flows. A service whose targets are merely busy keeps its share.
   fn destination(&self, now: Instant, flow: &Flow) -> Option<Service> {
     let route = self.spread.catalog().route(&flow.route)?;
     let ranked = route.backends.ranked(flow);
@@ -75,11 +74,11 @@
       return Some(first.service.clone());
     }
     let mut ranked = ranked.into_iter();
-    let taking = ranked.find(|backend| self.targets.takes(now, &backend.service));
-    Some(taking.unwrap_or(first).service.clone())
+    let accepting = ranked.find(|backend| self.targets.accepts(now, &backend.service));
+    Some(accepting.unwrap_or(first).service.clone())
   }
 
-  /// Sends an opening packet to its service.
+  /// Sends an opening packet to a target of the service that its flow belongs to.
   pub(super) fn place(
     &mut self,
     now: Instant,
@@ -88,14 +87,15 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let Some(service) = self.destination(now, &flow) else {
-      log::info!(flow:% = flow; "balancer: no service takes new flows of the route.");
+      log::info!(flow:% = flow; "balancer: no service of the route accepts new flows.");
       self.give_up(now, &flow, &opening, out);
       return Err(Code::PacketUnroutable);
     };
     self.place_at(now, flow, &service, opening, out)
   }
 
-  /// Sends an opening packet to the best target of a service that was not tried, else to the best.
+  /// Sends an opening packet to the best target of a service that it was not sent to yet. Starts
+  /// over with all of them if there is none left.
   fn place_at(
     &mut self,
     now: Instant,
@@ -110,22 +110,24 @@
       choice = self.choose(now, &flow, service, &opening.tried);
     }
     let Some(choice) = choice else {
-      log::info!(flow:% = flow, service:% = service; "balancer: flow has no target.");
-      if self.targets.is_shut(now, service) {
+      log::info!(
+        flow:% = flow, service:% = service;
+        "balancer: no target of the service accepts new flows."
+      );
+      if self.targets.all_closed(now, service) {
         self.give_up(now, &flow, &opening, out);
       }
       return Err(Code::PacketUnroutable);
     };
-    // Where some wait, the loads known here are too old: up to 110 of 225 flows in 0.2 s were turned
-    // away by targets (by the logs). A new one goes first with the next place that is granted.
-    if self.parking.waits(service) || self.is_too_long(&flow, service, choice.wait_ms) {
+    // Known loads are out of date while flows are queued, and targets would refuse: new flows wait
+    // for granted slots then.
+    if self.parking.has_flows(service) || self.is_too_long(&flow, service, choice.wait_ms) {
       return self.park(now, flow, service, opening, Some(choice), out);
     }
     self.send_to(now, flow, service, opening, choice, out);
     Ok(())
   }
 
-  /// Sends an opening packet to a target.
   pub(super) fn send_to(
     &mut self,
     now: Instant,
@@ -142,7 +144,7 @@
       ..
     } = choice;
     log::info!(
-      flow:% = flow, service:% = service, to:% = agent, before = opening.tried.len(),
+      flow:% = flow, service:% = service, to:% = agent, tried = opening.tried.len(),
       age:? = now.saturating_duration_since(opening.first), granted = is_granted,
       wait_ms = wait_ms, version:% = self.spread.catalog().version(),
       weight:% = self.weight(&flow, service);
@@ -151,48 +153,48 @@
     opening.tried.push(agent);
     opening.sent = now;
     opening.deadline = now + self.patience.wait();
-    self.targets.placed(agent);
-    self.openings.insert((opening.deadline, flow));
+    self.targets.count_opening(agent);
+    self.opening_deadlines.insert((opening.deadline, flow));
     let service = service.digest();
     self.carry(agent, Purpose::Open, service, &opening.packet, out);
     let place = Place {
       agent,
-      seen: now,
+      last_packet: now,
       service,
       state: State::Opening(opening),
     };
     self.flows.insert(flow, place);
   }
 
-  /// What a service takes of the new flows to an address, for the log.
+  /// The weight of a service among those of an address, for the log.
   fn weight(&self, flow: &Flow, service: &Service) -> Weight {
     let route = self.spread.catalog().route(&flow.route);
     let weight = route.map(|route| route.backends.weight(service));
     weight.unwrap_or_default()
   }
 
-  /// Whether a new flow would wait so long that it is better told at once: what waits in vain
-  /// makes all others wait.
+  /// Whether a new flow would wait so long for its answer that it is refused at once instead of
+  /// delaying others.
   pub(super) fn is_too_long(&self, flow: &Flow, service: &Service, wait_ms: f64) -> bool {
     wait_ms > self.limit_ms(flow, service)
   }
 
-  /// How long a new flow may wait for its answer, in milliseconds; longer where others of its
-  /// service matter less, so that it is not they who make it wait in vain.
+  /// The longest that a new flow may wait for its answer, in milliseconds; longer if the service
+  /// also has routes of a lower priority, so that those are refused first.
   fn limit_ms(&self, flow: &Flow, service: &Service) -> f64 {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return f64::MAX;
     };
-    let lowest = self.lowest.get(service);
-    let part = if lowest.is_some_and(|lowest| route.priority < *lowest) {
+    let lowest_priority = self.lowest_priorities.get(service);
+    let factor = if lowest_priority.is_some_and(|lowest| route.priority < *lowest) {
       self.tuning.wait_part_first
     } else {
       self.tuning.wait_part
     };
-    route.objective.as_secs_f64() * 1000.0 * part
+    route.objective.as_secs_f64() * 1000.0 * factor
   }
 
-  /// Where a flow waits.
+  /// The lane of the admission queue that a flow belongs to.
   pub(super) fn lane(&self, flow: &Flow, service: &Service) -> Lane {
     let route = self.spread.catalog().route(&flow.route);
     Lane {
@@ -212,7 +214,8 @@
     self.targets.choose(now, flow, service, tried, limit_ms)
   }
 
-  /// An opening packet goes on to the next target.
+  /// Sends an opening packet to the next target. `answered`: the last one has refused it, so that
+  /// it certainly did not open the flow.
   pub(super) fn place_next(&mut self, now: Instant, flow: Flow, answered: bool, out: &mut Outbox) {
     let Some(Place {
       state: State::Opening(opening),
@@ -227,8 +230,8 @@
     let mut opening = opening.clone();
     opening.may_be_open |= !answered;
     let next = self.choose(now, &flow, &service, &opening.tried);
-    if opening.tried.len() >= TRIES_MAX || next.is_none() {
-      // Where targets are silent, the next copy of its caller tries again.
+    if opening.tried.len() >= TARGETS_MAX || next.is_none() {
+      // If targets do not answer, the caller's next retransmission is placed anew.
       if answered && let Err(code) = self.park(now, flow, &service, opening, next, out) {
         self.counter.count(code);
       }
@@ -239,36 +242,37 @@
     }
   }
 
-  pub(super) fn opened(
+  /// Marks a flow as open at the agent that has accepted its opening packet.
+  pub(super) fn complete_opening(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
     flow: Flow,
     load: crate::datagram::Load,
   ) {
-    self.targets.loaded(now, from, load);
-    self.targets.opened(from);
+    self.targets.record_load(now, from, load);
+    self.targets.clear_failure(from);
     self.unpark(&flow);
     let service = self.targets.service(from).map(Service::digest);
     let Some(place) = self.flows.get_mut(&flow) else {
       return;
     };
     if let State::Parked(..) = place.state {
-      // One that was asked before it was parked.
+      // The target was sent the packet before the flow was queued.
       place.agent = from;
       place.service = service.unwrap_or(place.service);
       place.state = State::Open;
     }
     if let State::Opening(opening) = &place.state {
-      let asked = if place.agent == from {
+      let sent = if place.agent == from {
         opening.sent
       } else {
-        opening.began
+        opening.received
       };
-      let time = now.saturating_duration_since(asked);
+      let time = now.saturating_duration_since(sent);
       self.counter.observe("open", time);
       self.patience.observe(time);
-      self.openings.remove(&(opening.deadline, flow));
+      self.opening_deadlines.remove(&(opening.deadline, flow));
       place.service = if place.agent == from {
         place.service
       } else {
@@ -279,7 +283,8 @@
     }
   }
 
-  pub(super) fn refused(
+  /// Records why an agent refused an opening packet, and sends the packet to the next target.
+  pub(super) fn retry_refused(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -289,22 +294,24 @@
     out: &mut Outbox,
   ) {
     log::info!(
-      flow:% = flow, from:% = from, why:? = refusal, work = load.work, service_ms = load.service_ms;
-      "balancer: flow is refused."
+      flow:% = flow, from:% = from, refusal:? = refusal, work = load.work,
+      service_ms = load.service_ms;
+      "balancer: flow was refused by the agent."
     );
-    self.targets.loaded(now, from, load);
+    self.targets.record_load(now, from, load);
     match refusal {
       Refusal::Busy | Refusal::Cold | Refusal::Leaving => {}
-      Refusal::Closed => self.targets.closed(now, from),
-      Refusal::Down | Refusal::Full | Refusal::Service => self.targets.unanswered(now, from),
+      Refusal::Closed => self.targets.record_closed(now, from),
+      Refusal::Down | Refusal::Full | Refusal::Service => self.targets.record_failure(now, from),
     }
-    let here = self.flows.get(&flow);
-    if here.is_some_and(|place| place.agent == from && matches!(place.state, State::Opening(_))) {
+    let place = self.flows.get(&flow);
+    if place.is_some_and(|place| place.agent == from && matches!(place.state, State::Opening(_))) {
       self.place_next(now, flow, true, out);
     }
   }
 
-  pub(super) fn unanswered(
+  /// Sends an opening packet to the next target, unless it was answered or sent again meanwhile.
+  pub(super) fn time_out_opening(
     &mut self,
     now: Instant,
     deadline: Instant,
@@ -323,9 +330,9 @@
     let agent = place.agent;
     log::info!(
       flow:% = flow, agent:% = agent, age_ms:? = self.targets.age_ms(now, agent);
-      "balancer: opening packet is unanswered."
+      "balancer: opening packet timed out."
     );
-    self.targets.unanswered(now, agent);
+    self.targets.record_failure(now, agent);
     self.place_next(now, flow, false, out);
   }
 }
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -1,7 +1,7 @@
-//! What a balancer does with the packets of callers.
+//! Handles packets of callers.
 
 use {
-  super::{egress::Waiting, machine::Machine, place::State},
+  super::{egress::QueuedPacket, machine::Machine, place::State},
   crate::{
     Code,
     datagram::{Codec, Flow, Frame, Head, Outbox, Via, frame::Purpose, service::Digest},
@@ -12,8 +12,8 @@
   },
 };
 
-/// How old the platform's last word may be for a route that is not known to count as dropped.
-const ROUTE_FRESH: Duration = Duration::from_millis(2500);
+/// How recent the platform's last confirmation must be for an unknown route to count as removed.
+const CONFIRMATION_AGE_MAX: Duration = Duration::from_millis(2500);
 
 impl<C: Codec> Machine<C> {
   pub(super) fn take_packet(
@@ -25,38 +25,42 @@
     self.wake(now);
     let head = self.codec.read_from_caller(packet)?;
     if self.spread.catalog().route(&head.flow.route).is_none() {
-      return self.without_route(now, &head, out);
+      return self.reject_unroutable(now, &head, out);
     }
     if head.opens {
       return self.open(now, &head, packet, out);
     }
-    if self.egress.holds(now, &head) {
-      let taken = self.egress.push(head, packet);
-      return if taken { Ok(()) } else { Err(Code::QueueFull) };
+    if self.egress.must_queue(now, &head) {
+      let is_queued = self.egress.push(head, packet);
+      return if is_queued {
+        Ok(())
+      } else {
+        Err(Code::QueueFull)
+      };
     }
     self.forward(now, &head, packet, out);
     Ok(())
   }
 
-  /// Sends a packet of an open flow where the flow is.
+  /// Sends a packet of an open flow to the agent that owns it, or searches for that.
   pub(super) fn forward(&mut self, now: Instant, head: &Head, packet: &[u8], out: &mut Outbox) {
     match self.flows.get_mut(&head.flow) {
       Some(place) if matches!(place.state, State::Dead) => {
         self.reset(&head.flow, head.acknowledges, out);
       }
       Some(place) if matches!(place.state, State::Parked(..)) => {
-        // A target that another balancer had asked opened it.
+        // The flow was opened by another balancer.
         self.unpark(&head.flow);
         self.flows.remove(&head.flow);
         self.search(now, head, packet, None);
       }
       Some(place) => {
-        // Its caller was answered; if not from there, the agent says so.
+        // The caller was answered. If another agent owns the flow, this one says so.
         place.state = State::Open;
-        place.seen = now;
+        place.last_packet = now;
         let (agent, service) = (place.agent, place.service);
-        let away = self.absences.is_away(now, agent);
-        if !away || !self.absences.hold(agent, *head, packet) {
+        let is_restarting = self.restarts.is_restarting(now, agent);
+        if !is_restarting || !self.restarts.buffer(agent, *head, packet) {
           self.carry(agent, Purpose::Deliver, service, packet, out);
         }
       }
@@ -64,9 +68,9 @@
     }
   }
 
-  /// Sends what waited for the link, as far as that has room.
-  pub(super) fn send_waiting(&mut self, now: Instant, out: &mut Outbox) {
-    while let Some(Waiting { head, packet }) = self.egress.pop(now) {
+  /// Sends queued packets as far as the link has capacity.
+  pub(super) fn drain_egress(&mut self, now: Instant, out: &mut Outbox) {
+    while let Some(QueuedPacket { head, packet }) = self.egress.pop(now) {
       let before = out.size();
       if self.spread.catalog().route(&head.flow.route).is_some() {
         self.forward(now, &head, &packet, out);
@@ -75,17 +79,17 @@
     }
   }
 
-  /// Nothing may take the packet. The caller of a new flow is told at once, unless a route may have
-  /// come that is not known here yet; an open flow may be of such a route.
-  pub(super) fn without_route(
+  /// Rejects a packet whose address has no route. A new flow is reset at once, unless its route may
+  /// merely not be known here yet. An open flow is never reset: its route may come back.
+  pub(super) fn reject_unroutable(
     &mut self,
     now: Instant,
     head: &Head,
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let age = self.spread.confirmed(now);
-    let fresh = age.is_some_and(|age| age < ROUTE_FRESH);
-    if self.spread.catalog().configuration().is_none() || !fresh {
+    let is_fresh = age.is_some_and(|age| age < CONFIRMATION_AGE_MAX);
+    if self.spread.catalog().configuration().is_none() || !is_fresh {
       return Err(Code::NotReady);
     }
     if head.opens && head.acknowledges == 0 {
@@ -98,6 +102,7 @@
     Err(Code::PacketUnroutable)
   }
 
+  /// Resets a flow whose caller last acknowledged `acknowledges`.
   pub(super) fn reset(&self, flow: &Flow, acknowledges: u32, out: &mut Outbox) {
     let to = SocketAddrV4::new(*flow.caller.ip(), self.port);
     out.write(Via::Callers, to, |bytes| {
@@ -105,6 +110,7 @@
     });
   }
 
+  /// Sends a caller's packet to an agent.
   pub(super) fn carry(
     &self,
     agent: SocketAddrV4,
--- a/src/datagram/balancer/parking.rs
+++ b/src/datagram/balancer/parking.rs
@@ -7,109 +7,109 @@
   },
 };
 
-/// How often parked flows are looked at.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The least flow of all in their order.
-const LEAST: Flow = Flow {
+/// The flow that sorts before all others.
+const FIRST_FLOW: Flow = Flow {
   caller: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
   route: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
 };
 
-/// Flows that wait for the same targets and are of the same priority; the highest comes first.
+/// One part of the queue: flows of one service and one priority. Lanes of a service sort by
+/// priority, the highest first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Lane {
-  /// Of their route; 0 is the highest.
+  /// The priority of the flow's route; 0 is the highest.
   pub priority: u8,
-  /// Whose targets they wait for.
+  /// The service whose targets the flows wait for.
   pub service: Service,
 }
 
-/// A flow that waits, and when its caller sent the first copy of the opening packet.
+/// When the caller first sent the opening packet of a queued flow, and the flow.
 pub type Parked = (Instant, Flow);
 
-/// New flows that wait in the balancer until a target can take them.
+/// The admission queue: new flows that wait until a target can take them.
 #[derive(Debug)]
 pub struct Parking {
-  next: Instant,
+  next_check: Instant,
   parked: BTreeMap<Lane, BTreeSet<Parked>>,
 }
 
 impl Parking {
-  /// Nothing is parked.
+  /// An empty queue.
   pub fn new(now: Instant) -> Self {
     Self {
-      next: now,
+      next_check: now,
       parked: BTreeMap::new(),
     }
   }
 
-  /// When parked flows are to be looked at; none where there are none.
+  /// When targets are next checked for queued flows; none if the queue is empty.
   pub fn deadline(&self) -> Option<Instant> {
-    (!self.parked.is_empty()).then_some(self.next)
+    (!self.parked.is_empty()).then_some(self.next_check)
   }
 
-  /// The lanes with parked flows, when those are due; they are due again a little later.
+  /// The lanes to be checked now, in order; empty until the deadline, which is then set anew.
   pub fn due(&mut self, now: Instant) -> Vec<Lane> {
     if self.deadline().is_none_or(|deadline| deadline > now) {
       return Vec::new();
     }
-    self.next = now + LOOK;
+    self.next_check = now + POLL_INTERVAL;
     self.parked.keys().cloned().collect()
   }
 
-  /// Whether flows of a service are parked.
-  pub fn waits(&self, service: &Service) -> bool {
+  /// Whether flows of a service are queued.
+  pub fn has_flows(&self, service: &Service) -> bool {
     self.parked.keys().any(|lane| lane.service == *service)
   }
 
-  /// The lanes of a service, the highest priority first.
+  /// The lanes of a service that have queued flows, the highest priority first.
   pub fn lanes(&self, service: &Service) -> Vec<Lane> {
     let lanes = self.parked.keys().filter(|lane| lane.service == *service);
     lanes.cloned().collect()
   }
 
-  /// How many flows of a service are parked.
+  /// How many flows of a service are queued.
   pub fn len(&self, service: &Service) -> usize {
     let lanes = self.parked.iter();
     let lanes = lanes.filter(|(lane, _)| lane.service == *service);
     lanes.map(|(_, parked)| parked.len()).sum()
   }
 
-  /// The flow of a lane that began last.
+  /// The flow of a lane whose caller started last.
   pub fn newest(&self, lane: &Lane) -> Option<Parked> {
     self.parked.get(lane)?.last().copied()
   }
 
-  /// The flow of a lane that began first.
+  /// The flow of a lane whose caller started first.
   pub fn oldest(&self, lane: &Lane) -> Option<Parked> {
     self.parked.get(lane)?.first().copied()
   }
 
-  /// The flow of a lane that began first, of those that began at `since` or later.
+  /// The flow of a lane whose caller started first, at `since` or later.
   pub fn oldest_since(&self, lane: &Lane, since: Instant) -> Option<Parked> {
     let parked = self.parked.get(lane)?;
-    parked.range((since, LEAST)..).next().copied()
+    parked.range((since, FIRST_FLOW)..).next().copied()
   }
 
-  /// Parks a flow.
+  /// Adds a flow.
   pub fn park(&mut self, now: Instant, lane: &Lane, parked: Parked) {
-    self.next = self.next.max(now);
+    self.next_check = self.next_check.max(now);
     self.parked.entry(lane.clone()).or_default().insert(parked);
   }
 
-  /// A flow no longer waits.
-  pub fn take(&mut self, lane: &Lane, parked: Parked) {
-    let Some(waiting) = self.parked.get_mut(lane) else {
+  /// Removes a flow, if it is in the lane.
+  pub fn remove(&mut self, lane: &Lane, parked: Parked) {
+    let Some(flows) = self.parked.get_mut(lane) else {
       return;
     };
-    waiting.remove(&parked);
-    if waiting.is_empty() {
+    flows.remove(&parked);
+    if flows.is_empty() {
       self.parked.remove(lane);
     }
   }
 
-  /// How many flows are parked.
+  /// How many flows are queued in all.
   pub fn total(&self) -> usize {
     self.parked.values().map(BTreeSet::len).sum()
   }
--- a/src/datagram/balancer/place.rs
+++ b/src/datagram/balancer/place.rs
@@ -8,80 +8,82 @@
 /// The agents that an opening packet was sent to.
 pub type Tried = SmallVec<[SocketAddrV4; 4]>;
 
-/// Where a flow is.
+/// The place of a flow.
 #[derive(Clone, Debug)]
 pub struct Place {
-  /// The agent of its target.
+  /// The address of the agent that owns it or was sent its opening packet; the balancer's own if
+  /// the flow is queued or dead.
   pub agent: SocketAddrV4,
-  /// When its last packet came.
-  pub seen: Instant,
-  /// The service that has it, whatever its address leads to by now.
+  /// When the last packet of the flow came.
+  pub last_packet: Instant,
+  /// The service that the flow belongs to, even if its address is routed elsewhere meanwhile.
   pub service: Digest,
-  /// How far it is.
+  /// How far the flow has got.
   pub state: State,
 }
 
 impl Place {
-  /// Whether an agent has the flow, as far as known.
-  pub fn is_at(&self, agent: SocketAddrV4) -> bool {
+  /// Whether the flow is open at an agent, as far as this balancer knows.
+  pub fn is_open_at(&self, agent: SocketAddrV4) -> bool {
     self.agent == agent && matches!(self.state, State::Open)
   }
 }
 
-/// How far a flow is.
+/// How far a flow has got.
 #[derive(Clone, Debug)]
 pub enum State {
-  /// The opening packet is under way.
+  /// The opening packet was sent to a target and is not answered.
   Opening(Opening),
-  /// Its target has it, as far as known.
+  /// The target has accepted it, as far as this balancer knows.
   Open,
-  /// The opening packet waits in the balancer until a target can take it.
+  /// The opening packet is in the admission queue.
   Parked(Lane, Opening),
-  /// It is nowhere, and its caller was told.
+  /// No agent owns it; it was reset.
   Dead,
 }
 
-/// An opening packet that no target has answered yet.
+/// An opening packet that no target has accepted yet.
 #[derive(Clone, Debug)]
 pub struct Opening {
-  /// When the first target was asked.
-  pub began: Instant,
-  /// The last of the caller's copies that came here, none before it missing.
-  pub copy: u32,
-  /// When the next target is asked.
+  /// The number of the caller's last transmission of the packet that came here; 0 is the first.
+  pub attempt: u32,
+  /// When the next target is tried.
   pub deadline: Instant,
-  /// When its caller sent the first copy, as far as the copies tell that came here.
+  /// When the caller sent it first, computed from the number of the transmission.
   pub first: Instant,
-  /// Whether a target may have taken it, so that the flow may be open already: one that was asked
-  /// did not answer, or another balancer had an earlier copy.
+  /// Whether the flow may be open already: a target did not answer, or another balancer may have
+  /// received a transmission.
   pub may_be_open: bool,
-  /// The packet.
+  /// The bytes of the packet.
   pub packet: SmallVec<[u8; 40]>,
-  /// When the last target was asked.
+  /// When this balancer received it.
+  pub received: Instant,
+  /// When it was last sent to a target.
   pub sent: Instant,
-  /// Who was asked.
+  /// The agents it was sent to.
   pub tried: Tried,
 }
 
 impl Opening {
-  /// A packet that has just come, and was sent to nobody.
+  /// An opening packet that was just received and not sent to any target.
   pub fn new<C: Codec>(now: Instant, head: &Head, packet: &[u8]) -> Self {
     Self {
-      began: now,
-      copy: head.acknowledges,
+      attempt: head.acknowledges,
       deadline: now,
       first: now.checked_sub(C::age(head.acknowledges)).unwrap_or(now),
       may_be_open: head.acknowledges > 0,
       packet: SmallVec::from_slice(packet),
+      received: now,
       sent: now,
       tried: Tried::new(),
     }
   }
 
-  /// Another copy came. One that is missing went to another balancer, or was lost.
-  pub fn take_copy(&mut self, copy: u32, packet: SmallVec<[u8; 40]>) {
-    self.may_be_open |= copy > self.copy + 1;
-    self.copy = self.copy.max(copy);
+  /// Records a retransmission. If one before it has not come here, it may have opened the flow
+  /// through another balancer.
+  pub fn record_retransmission(&mut self, attempt: u32, packet: SmallVec<[u8; 40]>) {
+    self.may_be_open |= attempt > self.attempt + 1;
+    self.attempt = self.attempt.max(attempt);
     self.packet = packet;
   }
 }
--- a/src/datagram/balancer/questions.rs
+++ b/src/datagram/balancer/questions.rs
@@ -11,45 +11,45 @@
   },
 };
 
-/// The least time that each question and each packet to try takes of the budget: 2,500 a second, an
-/// eighth of a link of 10 Mbit/s.
-const EACH: Duration = Duration::from_micros(400);
+/// The shortest interval between datagrams of searches, for fast links.
+const INTERVAL_MIN: Duration = Duration::from_micros(400);
 
-/// The part of a link that they may take, whatever it carries.
-const PART: f64 = 0.125;
+/// The fraction of the link's rate that queries and tests may take.
+const LINK_SHARE: f64 = 0.125;
 
-/// The bytes of a question about one flow, with the network's own head.
-const SIZE: f64 = 64.0;
+/// The size of a query about one flow in bytes, with lower-layer headers.
+const QUERY_BYTES: f64 = 64.0;
 
-/// The services that may have a flow.
+/// Digests of the services that a flow may belong to.
 pub type Digests = SmallVec<[Digest; 2]>;
 
-/// Questions about flows that wait to be sent. The more there are, the more flows each names: they
-/// leave at a bounded rate, so that searching never fills the link that the answers need.
+/// Queries about flows, batched by agent and sent at a bounded rate, so that they leave the link
+/// free for answers. The more are pending, the more flows a datagram names.
 #[derive(Debug)]
 pub struct Questions {
-  /// When the budget allows the next ones.
-  allowed: Instant,
-  /// The time that each takes.
-  each: Duration,
-  /// By the agent and the services that may have the flows.
+  /// The interval between datagrams.
+  interval: Duration,
+  /// When the next datagram may be sent.
+  next_send: Instant,
+  /// The flows to query with what their callers last acknowledged, by agent and the services that
+  /// they may belong to.
   pending: BTreeMap<(SocketAddrV4, Digests), Vec<(Flow, u32)>>,
 }
 
 impl Questions {
-  /// No questions over a link, where its rate is known.
+  /// No queries. The rate is derived from that of the link, if it is known.
   pub fn new(now: Instant, link: Option<Rate>) -> Self {
     let second = Duration::from_secs(1);
-    let each = link.map(|link| SIZE / (link.bytes_in(second) * PART));
-    let each = each.map(Duration::from_secs_f64).unwrap_or_default();
+    let interval = link.map(|link| QUERY_BYTES / (link.bytes_in(second) * LINK_SHARE));
+    let interval = interval.map(Duration::from_secs_f64).unwrap_or_default();
     Self {
-      allowed: now,
-      each: each.max(EACH),
+      interval: interval.max(INTERVAL_MIN),
+      next_send: now,
       pending: BTreeMap::new(),
     }
   }
 
-  /// Adds a question to an agent about a flow whose caller last acknowledged `acknowledges`.
+  /// Adds a query to an agent about a flow whose caller last acknowledged `acknowledges`.
   pub fn add(
     &mut self,
     now: Instant,
@@ -58,26 +58,27 @@
     flow: Flow,
     acknowledges: u32,
   ) {
-    self.allowed = self.allowed.max(now);
+    self.next_send = self.next_send.max(now);
     let flows = self.pending.entry((agent, services.clone())).or_default();
     if flows.last() != Some(&(flow, acknowledges)) {
       flows.push((flow, acknowledges));
     }
   }
 
-  /// When they are to be sent; none where there are none.
+  /// When the queries are to be sent; none if there are none.
   pub fn deadline(&self) -> Option<Instant> {
-    (!self.pending.is_empty()).then_some(self.allowed)
+    (!self.pending.is_empty()).then_some(self.next_send)
   }
 
-  /// Sends all, if the budget allows it; `complete` is the revision up to which the list is known.
+  /// Sends all queries if the rate allows; `complete` is the revision up to which this balancer
+  /// knows the target list.
   pub fn send(&mut self, now: Instant, complete: Revision, out: &mut Outbox) {
     if self.deadline().is_none_or(|deadline| deadline > now) {
       return;
     }
     for ((agent, services), flows) in std::mem::take(&mut self.pending) {
       for flows in flows.chunks(ASKED_MAX) {
-        self.spend(now);
+        self.charge(now);
         let flows = flows.to_vec();
         let frame = Frame::Ask {
           complete,
@@ -89,8 +90,8 @@
     }
   }
 
-  /// A datagram more was sent for a search.
-  pub fn spend(&mut self, now: Instant) {
-    self.allowed = self.allowed.max(now) + self.each;
+  /// Accounts for a datagram of a search.
+  pub fn charge(&mut self, now: Instant) {
+    self.next_send = self.next_send.max(now) + self.interval;
   }
 }
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -1,5 +1,5 @@
-//! What balancers tell each other of the past: targets that have left the list, and services that
-//! addresses led to.
+//! Exchanges history with other balancers: targets that were removed from the target list, and
+//! services that addresses were routed to.
 
 use {
   super::machine::Machine,
@@ -8,16 +8,16 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// Asks a balancer what left the list, while that is not known.
+  /// Requests a balancer's history, unless it is known or the request was sent recently.
   pub(super) fn ask_past(&mut self, now: Instant, balancer: SocketAddrV4, out: &mut Outbox) {
-    if self.history.asks(now, balancer) {
+    if self.history.take_due(now, balancer) {
       out.frame(balancer, &Frame::AskPast, &[]);
     }
   }
 
-  /// Asks all balancers that are there and have not answered.
+  /// Requests the history of all live balancers that have not answered, if a search depends on it.
   pub(super) fn ask_all_past(&mut self, now: Instant, out: &mut Outbox) {
-    if self.history.is_known() || self.answered.is_empty() {
+    if self.history.is_known() || self.denied.is_empty() {
       return;
     }
     for balancer in self.spread.present(now).collect::<Vec<_>>() {
@@ -25,8 +25,7 @@
     }
   }
 
-  /// Tells a balancer that has just started which targets have left the list, and which services
-  /// addresses led to.
+  /// Sends the targets that were removed, and the services that addresses were routed to.
   pub(super) fn tell_past(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
     let past = self.targets.past(now, self.spread.catalog());
     let known = self.history.is_known();
@@ -46,23 +45,24 @@
     }
   }
 
-  /// Whether nobody knows what left the list: this process has just started, and none of the balancers
-  /// that have answered remembers more. They have all lost power then.
+  /// Whether the history is lost for good: this process has just started, and none of the balancers
+  /// that have answered knows more. They have all lost power then.
   pub(super) fn is_past_lost(&self, now: Instant) -> bool {
-    !self.history.is_known() && self.history.is_young(now) && self.is_past_told(now)
+    !self.history.is_known() && self.history.is_starting(now) && self.is_past_told(now)
   }
 
   pub(super) fn is_past_told(&self, now: Instant) -> bool {
-    self.history.is_told(now, self.spread.present(now))
+    self.history.is_complete(now, self.spread.present(now))
   }
 
-  /// Concludes searches whose agents have all answered, once the list or the past is known.
-  pub(super) fn conclude_answered(&mut self, now: Instant, out: &mut Outbox) {
-    if self.answered.is_empty() || !self.is_past_told(now) {
+  /// Resets flows that all agents have denied, once the history is complete enough to prove that
+  /// they are lost.
+  pub(super) fn conclude_denied(&mut self, now: Instant, out: &mut Outbox) {
+    if self.denied.is_empty() || !self.is_past_told(now) {
       return;
     }
-    for flow in std::mem::take(&mut self.answered) {
-      self.conclude(now, flow, out);
+    for flow in std::mem::take(&mut self.denied) {
+      self.advance_search(now, flow, out);
     }
   }
 }
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -1,4 +1,4 @@
-//! What a balancer does for agents that stop as planned and start again.
+//! Keeps the flows of agents through graceful restarts.
 
 use {
   super::machine::Machine,
@@ -7,27 +7,27 @@
 };
 
 /// How many flows one frame names.
-const HELD_MAX: usize = 64;
+const FLOWS_PER_FRAME: usize = 64;
 
 impl<C: Codec> Machine<C> {
-  /// An agent has started again: it is told which flows it had, by its own last word and as far
-  /// as known here.
-  pub(super) fn remind(&mut self, now: Instant, agent: SocketAddrV4, out: &mut Outbox) {
+  /// Sends an agent that has restarted the flows of its previous incarnation: from its handover,
+  /// and those that this balancer knows.
+  pub(super) fn restore_flows(&mut self, now: Instant, agent: SocketAddrV4, out: &mut Outbox) {
     let service = self.targets.service(agent).map(Service::digest);
-    let there = self.flows.iter().filter(|(_, place)| {
-      // The address may have gone to an upstream of another service.
-      place.is_at(agent) && service.is_none_or(|service| service == place.service)
+    let known = self.flows.iter().filter(|(_, place)| {
+      // An upstream of another service may have got the address.
+      place.is_open_at(agent) && service.is_none_or(|service| service == place.service)
     });
-    let mut known = there.map(|(flow, _)| *flow).collect::<Vec<_>>();
-    // In one order, so that a run can be played again.
+    let mut known = known.map(|(flow, _)| *flow).collect::<Vec<_>>();
+    // In a fixed order, so that simulations are reproducible.
     known.sort_unstable();
     let handed = self.handed.remove(&agent);
     log::info!(
       agent:% = agent, flows = known.len(),
-      whole = handed.as_ref().is_some_and(|handed| handed.is_whole_at(now));
-      "balancer: agent has started again."
+      handover_complete = handed.as_ref().is_some_and(|handed| handed.is_whole_at(now));
+      "balancer: agent has restarted."
     );
-    for part in known.chunks(HELD_MAX) {
+    for part in known.chunks(FLOWS_PER_FRAME) {
       let frame = Frame::Held {
         flows: part.to_vec(),
       };
@@ -38,14 +38,18 @@
     }
   }
 
-  /// An agent is back, or is waited for no longer: what was held for it goes on.
-  pub(super) fn returned(&mut self, now: Instant, agent: SocketAddrV4, out: &mut Outbox) {
-    let packets = self.absences.end(agent);
+  /// Sends the packets that were buffered for an agent which has restarted or did not come back in
+  /// time.
+  pub(super) fn release_buffered(&mut self, now: Instant, agent: SocketAddrV4, out: &mut Outbox) {
+    let packets = self.restarts.finish(agent);
     if !packets.is_empty() {
-      log::info!(agent:% = agent, packets = packets.len(); "balancer: held packets go on.");
+      log::info!(
+        agent:% = agent, packets = packets.len();
+        "balancer: buffered packets are forwarded."
+      );
     }
     for (head, packet) in packets {
-      if self.egress.paces(&head) && self.egress.push(head, &packet) {
+      if self.egress.is_paced(&head) && self.egress.push(head, &packet) {
         continue;
       }
       if self.spread.catalog().route(&head.flow.route).is_some() {
@@ -54,13 +58,13 @@
     }
   }
 
-  /// Greets agents that packets are held for, and gives up those that are not back in time.
-  pub(super) fn await_absent(&mut self, now: Instant, out: &mut Outbox) {
-    for agent in self.absences.take_due(now) {
+  /// Sends a status to agents that packets are buffered for, and ends restarts that have timed out.
+  pub(super) fn poll_restarts(&mut self, now: Instant, out: &mut Outbox) {
+    for agent in self.restarts.take_due(now) {
       self.spread.greet(now, Role::Balancer, agent, out);
     }
-    for agent in self.absences.lost(now) {
-      self.returned(now, agent, out);
+    for agent in self.restarts.timed_out(now) {
+      self.release_buffered(now, agent, out);
     }
   }
 }
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -7,147 +7,148 @@
   },
 };
 
-/// How many packets of a flow are held: as many as an end keeps under way.
-const HELD_MAX: usize = 16;
+/// How many packets of a flow are buffered: a caller's window.
+const PACKETS_MAX: usize = 16;
 
-/// How often those are asked again that are silent.
-const AGAIN_MAX: u32 = 3;
+/// How often agents that have not answered are queried again.
+const RETRIES_MAX: u32 = 3;
 
-/// Agents.
 type Agents = SmallVec<[SocketAddrV4; 12]>;
 
-/// Agents, with the services of their upstreams.
-type Serving = SmallVec<[(SocketAddrV4, Digest); 12]>;
+/// Agents with the services of their upstreams.
+type AgentsOfServices = SmallVec<[(SocketAddrV4, Digest); 12]>;
 
-/// A flow that is being looked for.
+/// A search for the agent that owns a flow.
 #[derive(Clone, Debug)]
 pub struct Search {
   /// What the caller last acknowledged.
   pub acknowledges: u32,
-  /// How often the silent ones were asked again.
-  again: u32,
-  /// Who was asked, and who had said no before that.
-  pub asked: Agents,
-  /// When it began.
-  pub began: Instant,
-  /// When those that are silent are asked again.
+  /// When agents that have not answered are queried again.
   pub deadline: Instant,
-  /// The packets that came meanwhile.
-  held: Vec<Vec<u8>>,
-  /// The list has to be known up to here for the no of all to be proof.
-  pub needs: Revision,
-  /// Which of the held packets agents were given to try.
+  /// Whether agents of other data centres are queried too.
+  pub is_wide: bool,
+  /// The packets that have come during the search.
+  packets: Vec<Vec<u8>>,
+  /// The agents that have neither confirmed nor denied the flow.
+  pub pending: Agents,
+  /// The index of the buffered packet that agents were sent as a test.
   probe: Option<usize>,
-  /// Who was given it.
-  tried: Agents,
-  /// Who of them was given it since the last question.
+  /// The agents that were queried, and the one that had denied the flow before.
+  pub queried: Agents,
+  /// The revision up to which this balancer has to know the target list before denials of all
+  /// agents prove the flow lost.
+  pub required_revision: Revision,
+  /// How often agents that have not answered were queried again.
+  retries: u32,
+  /// When it began.
+  pub started: Instant,
+  /// The agents that were sent the test.
+  tested: Agents,
+  /// The agents that were sent the test since they were last queried.
   trying: Agents,
-  /// Who of them could not say, and the service of its upstream.
-  unsure: Serving,
-  /// Who has not said yes or no.
-  pub waiting: Agents,
-  /// Whether those of other data centres are asked too.
-  pub wide: bool,
+  /// The agents that cannot answer without a test, with the services of their upstreams.
+  unsure: AgentsOfServices,
 }
 
 impl Search {
-  /// A search that begins; `except` has said no already.
+  /// A new search; `except` has already denied the flow.
   pub fn new(now: Instant, acknowledges: u32, except: Option<SocketAddrV4>) -> Self {
     Self {
       acknowledges,
-      again: 0,
-      asked: except.into_iter().collect(),
-      began: now,
       deadline: now,
-      held: Vec::new(),
-      needs: Revision::default(),
+      is_wide: false,
+      packets: Vec::new(),
+      pending: Agents::new(),
       probe: None,
-      tried: Agents::new(),
+      queried: except.into_iter().collect(),
+      required_revision: Revision::default(),
+      retries: 0,
+      started: now,
+      tested: Agents::new(),
       trying: Agents::new(),
-      unsure: Serving::new(),
-      waiting: Agents::new(),
-      wide: false,
+      unsure: AgentsOfServices::new(),
     }
   }
 
-  /// Adds whoever was not asked yet, and returns them.
-  pub fn extend(&mut self, holders: impl Iterator<Item = SocketAddrV4>) -> Agents {
-    let new = holders.filter(|holder| !self.asked.contains(holder));
+  /// Adds the agents that were not queried yet, and returns them.
+  pub fn add_queried(&mut self, holders: impl Iterator<Item = SocketAddrV4>) -> Agents {
+    let new = holders.filter(|holder| !self.queried.contains(holder));
     let new = new.collect::<Agents>();
-    self.asked.extend_from_slice(&new);
-    self.waiting.extend_from_slice(&new);
+    self.queried.extend_from_slice(&new);
+    self.pending.extend_from_slice(&new);
     new
   }
 
-  /// Keeps a packet until the flow is found; returns the bytes that it takes.
-  pub fn hold(&mut self, packet: &[u8]) -> usize {
-    if self.held.len() >= HELD_MAX {
+  /// Buffers a packet until the flow is found, if there is space. Returns the bytes added.
+  pub fn buffer(&mut self, packet: &[u8]) -> usize {
+    if self.packets.len() >= PACKETS_MAX {
       return 0;
     }
-    self.held.push(packet.to_vec());
+    self.packets.push(packet.to_vec());
     packet.len()
   }
 
-  /// The bytes that are held.
-  pub fn bytes(&self) -> usize {
-    self.held.iter().map(Vec::len).sum()
+  /// The size of all buffered packets.
+  pub fn buffered_bytes(&self) -> usize {
+    self.packets.iter().map(Vec::len).sum()
   }
 
-  /// Sets the next deadline; false when all was tried.
-  pub fn ask_again(&mut self, now: Instant, first: Duration) -> bool {
-    if self.again >= AGAIN_MAX {
+  /// Schedules the next round of queries, after `first` times a power of two; false if there were
+  /// enough.
+  pub fn schedule_retry(&mut self, now: Instant, first: Duration) -> bool {
+    if self.retries >= RETRIES_MAX {
       return false;
     }
-    self.again += 1;
+    self.retries += 1;
     self.trying.clear();
-    self.deadline = now + first * 2_u32.pow(self.again);
+    self.deadline = now + first * 2_u32.pow(self.retries);
     true
   }
 
-  /// Whether silent ones were asked again.
-  pub fn is_first(&self) -> bool {
-    self.again == 0
+  /// Whether no agent was queried again yet.
+  pub fn is_first_round(&self) -> bool {
+    self.retries == 0
   }
 
-  /// An agent cannot say whether it has the flow without a packet of it to try.
-  pub fn is_unsure(&mut self, agent: SocketAddrV4, service: Digest) {
+  /// Records that an agent cannot answer without a test.
+  pub fn mark_unsure(&mut self, agent: SocketAddrV4, service: Digest) {
     let known = self.unsure.iter().any(|(unsure, _)| *unsure == agent);
-    if self.waiting.contains(&agent) && !known {
+    if self.pending.contains(&agent) && !known {
       self.unsure.push((agent, service));
     }
   }
 
-  /// An agent does not have the flow.
-  pub fn said_no(&mut self, agent: SocketAddrV4) {
-    self.keep(|other| other != agent);
+  /// Records that an agent denies the flow.
+  pub fn record_denial(&mut self, agent: SocketAddrV4) {
+    self.retain_pending(|other| other != agent);
   }
 
-  /// Waits only for those agents.
-  pub fn keep(&mut self, kept: impl Fn(SocketAddrV4) -> bool) {
-    self.waiting.retain(|agent| kept(*agent));
+  /// Stops waiting for all other agents.
+  pub fn retain_pending(&mut self, kept: impl Fn(SocketAddrV4) -> bool) {
+    self.pending.retain(|agent| kept(*agent));
     self.unsure.retain(|(agent, _)| kept(*agent));
     self.trying.retain(|agent| kept(*agent));
   }
 
-  /// Whether some that may have the flow have not said anything.
-  pub fn has_silent(&self) -> bool {
-    !self.wide || self.has_silent_asked()
+  /// Whether an agent that may own the flow has not answered, including those not queried yet.
+  pub fn has_unanswered(&self) -> bool {
+    !self.is_wide || self.has_unanswered_queries()
   }
 
-  /// Whether some of those that were asked have not said anything.
-  pub fn has_silent_asked(&self) -> bool {
-    self.waiting.len() > self.unsure.len()
+  /// Whether a queried agent has not answered.
+  pub fn has_unanswered_queries(&self) -> bool {
+    self.pending.len() > self.unsure.len()
   }
 
-  /// Whether most of those that were asked cannot say.
-  pub fn is_mostly_unsure(&self) -> bool {
-    self.wide && 2 * self.unsure.len() > self.asked.len()
+  /// Whether most of the agents of all data centres cannot answer without a test.
+  pub fn is_majority_unsure(&self) -> bool {
+    self.is_wide && 2 * self.unsure.len() > self.queried.len()
   }
 
-  /// Who may be given a packet to try, and the services of their upstreams.
-  pub fn to_try(&self) -> Serving {
+  /// The agents to be sent a test, with the services of their upstreams.
+  pub fn to_try(&self) -> AgentsOfServices {
     if self.trying.len() == self.unsure.len() {
-      return Serving::new();
+      return AgentsOfServices::new();
     }
     let unsure = self.unsure.iter().copied();
     unsure
@@ -155,33 +156,34 @@
       .collect()
   }
 
-  /// The packet that tells agents whether their upstreams have the flow: the smallest.
+  /// Records that agents are sent a test. Returns the packet for it, which is the smallest unless
+  /// one was sent before; none if no packet is buffered.
   pub fn probe(&mut self, agents: &[(SocketAddrV4, Digest)]) -> Option<&[u8]> {
     for (agent, _) in agents {
       self.trying.push(*agent);
-      if !self.tried.contains(agent) {
-        self.tried.push(*agent);
+      if !self.tested.contains(agent) {
+        self.tested.push(*agent);
       }
     }
-    let sizes = self.held.iter().enumerate();
+    let sizes = self.packets.iter().enumerate();
     let smallest = || sizes.min_by_key(|(_, packet)| packet.len());
     let index = self.probe.or_else(|| smallest().map(|(index, _)| index));
     self.probe = index;
-    Some(&self.held[index?])
+    Some(&self.packets[index?])
   }
 
-  /// An agent has started again: what its run before said no longer counts.
+  /// Discards what the previous incarnation of a restarted agent has answered.
   pub fn try_again(&mut self, agent: SocketAddrV4) {
     self.trying.retain(|trying| *trying != agent);
     self.unsure.retain(|(unsure, _)| *unsure != agent);
   }
 
-  /// The held packets that an agent has not been given.
+  /// The buffered packets that an agent was not sent as a test.
   pub fn packets_for(&self, agent: SocketAddrV4) -> impl Iterator<Item = &[u8]> {
-    let given = self.probe.filter(|_| self.tried.contains(&agent));
-    let held = self.held.iter().enumerate();
-    held
-      .filter(move |(index, _)| Some(*index) != given)
+    let sent = self.probe.filter(|_| self.tested.contains(&agent));
+    let packets = self.packets.iter().enumerate();
+    packets
+      .filter(move |(index, _)| Some(*index) != sent)
       .map(|(_, packet)| packet.as_slice())
   }
 }
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -1,4 +1,4 @@
-//! How a balancer finds flows that it does not know, and when it believes that one is nowhere.
+//! Searches for the agents of unknown flows, and determines which flows are lost.
 
 use {
   super::{
@@ -23,8 +23,8 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// Asks those that may have a flow, and holds the packet until one of them says that it has:
-  /// first those of this data centre, where most flows are, and then all.
+  /// Queries the agents that may own a flow, first those of this data centre, and buffers the
+  /// packet until one of them confirms that it owns the flow.
   pub(super) fn search(
     &mut self,
     now: Instant,
@@ -36,40 +36,44 @@
     if !self.searches.contains_key(&flow) {
       let services = self.spread.catalog().services(&flow.route);
       let mut search = Search::new(now, head.acknowledges, except);
-      let mut asked = search.extend(self.targets.near_holders(&services));
-      if asked.is_empty() {
-        search.wide = true;
-        asked = search.extend(self.targets.holders(&services));
+      let mut queried = search.add_queried(self.targets.near_holders(&services));
+      if queried.is_empty() {
+        search.is_wide = true;
+        queried = search.add_queried(self.targets.holders(&services));
       }
-      if asked.is_empty() {
-        // Nobody who could say no is no proof either.
-        log::info!(flow:% = flow, services = services.len(); "balancer: flow has nobody to be asked.");
+      if queried.is_empty() {
+        // Without an agent that denies the flow, it is not proved to be lost.
+        log::info!(
+          flow:% = flow, services = services.len();
+          "balancer: flow has no agent to query."
+        );
         self.counter.count(Code::FlowUnknown);
         return;
       }
-      log::info!(flow:% = flow, asked = asked.len(); "balancer: flow is searched for.");
-      let wait = if search.wide {
+      log::info!(flow:% = flow, queried = queried.len(); "balancer: flow is searched for.");
+      let wait = if search.is_wide {
         self.tuning.search
       } else {
         self.tuning.search_near
       };
       search.deadline = now + wait;
-      self.searching.insert((search.deadline, flow));
-      self.ask(now, flow, head.acknowledges, &asked);
+      self.search_deadlines.insert((search.deadline, flow));
+      self.query(now, flow, head.acknowledges, &queried);
       self.searches.insert(flow, search);
     }
-    if self.held_bytes >= self.tuning.search_bytes {
+    if self.buffered_bytes >= self.tuning.search_bytes {
       self.counter.count(Code::QueueFull);
       return;
     }
     if let Some(search) = self.searches.get_mut(&flow) {
       search.acknowledges = head.acknowledges;
-      self.held_bytes += search.hold(packet);
+      self.buffered_bytes += search.buffer(packet);
     }
   }
 
-  /// Agents do not have flows.
-  pub(super) fn absent(
+  /// Records that an agent does not own some flows. A `packet` that it returned is searched for
+  /// elsewhere.
+  pub(super) fn deny_flows(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -79,29 +83,35 @@
     out: &mut Outbox,
   ) {
     self.spread.is_behind(now, from, known.complete);
-    self.learn_past(now, from, flows, known);
+    self.add_removed_targets(now, from, flows, known);
     for flow in flows {
-      let here = self.flows.get(flow);
-      let here =
-        here.is_some_and(|place| place.agent == from && !matches!(place.state, State::Dead));
-      if here {
+      let place = self.flows.get(flow);
+      let is_here =
+        place.is_some_and(|place| place.agent == from && !matches!(place.state, State::Dead));
+      if is_here {
         self.flows.remove(flow);
       }
       if let Some(search) = self.searches.get_mut(flow) {
-        search.said_no(from);
-        // A target that is not known here yet may have the flow.
-        search.needs = search.needs.max(known.complete);
-        self.conclude(now, *flow, out);
+        search.record_denial(from);
+        // A target that is not known here yet may own the flow.
+        search.required_revision = search.required_revision.max(known.complete);
+        self.advance_search(now, *flow, out);
       }
     }
     if let (false, [flow]) = (packet.is_empty(), flows) {
-      self.search_returned(now, from, *flow, packet);
+      self.search_elsewhere(now, from, *flow, packet);
     }
   }
 
-  /// An agent names targets of its service that have left the list. Where the service is not known here
-  /// it is one of those that the flows may be at.
-  fn learn_past(&mut self, now: Instant, from: SocketAddrV4, flows: &[Flow], known: &Known) {
+  /// Adds the removed targets that an agent reports. They belong to its own service, or if that is
+  /// not known here, to those of the flows.
+  fn add_removed_targets(
+    &mut self,
+    now: Instant,
+    from: SocketAddrV4,
+    flows: &[Flow],
+    known: &Known,
+  ) {
     if known.past.is_empty() {
       return;
     }
@@ -110,11 +120,11 @@
       None => self.services_of(flows),
     };
     for service in &services {
-      self.targets.learn(now, service, &known.past);
+      self.targets.add_removed(now, service, &known.past);
     }
   }
 
-  /// The services that may have flows.
+  /// The services that some flows may belong to.
   fn services_of(&self, flows: &[Flow]) -> BTreeSet<Service> {
     let routes = flows.iter().map(|flow| flow.route);
     let routes = routes.collect::<BTreeSet<_>>();
@@ -123,9 +133,12 @@
     services.collect()
   }
 
-  /// A packet was sent where its flow is not.
-  fn search_returned(&mut self, now: Instant, from: SocketAddrV4, flow: Flow, packet: &[u8]) {
-    log::info!(flow:% = flow, from:% = from; "balancer: flow is not where it was.");
+  /// Searches for the owner of a flow whose packet an agent has returned.
+  fn search_elsewhere(&mut self, now: Instant, from: SocketAddrV4, flow: Flow, packet: &[u8]) {
+    log::info!(
+      flow:% = flow, from:% = from;
+      "balancer: agent returned a packet of a flow that it does not own."
+    );
     let Ok(head) = self.codec.read_from_caller(packet) else {
       self.counter.count(Code::PacketTooShort);
       return;
@@ -136,38 +149,39 @@
     }
   }
 
-  /// Goes on with a search as far as what was said allows.
-  pub(super) fn conclude(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
+  /// Continues a search with the answers so far: tests the flow, widens the search or resets the
+  /// flow.
+  pub(super) fn advance_search(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     let Some(search) = self.searches.get(&flow) else {
       return;
     };
-    if search.wide && !search.waiting.is_empty() {
+    if search.is_wide && !search.pending.is_empty() {
       self.try_unsure(now, flow, out);
-    } else if !search.has_silent_asked() {
-      self.ask_rest(now, flow, out);
+    } else if !search.has_unanswered_queries() {
+      self.query_rest(now, flow, out);
     }
   }
 
-  /// Asks whoever was not asked yet. Where nobody is left the flow is nowhere, and its caller is
-  /// told.
-  fn ask_rest(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
+  /// Queries the agents that were not queried yet, in all data centres. If all have denied the
+  /// flow, it is lost and is reset.
+  fn query_rest(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     let Some(search) = self.searches.get_mut(&flow) else {
       return;
     };
-    search.wide = true;
+    search.is_wide = true;
     let services = self.spread.catalog().services(&flow.route);
     let holders = self.targets.holders(&services);
-    // Whoever has become known since is asked too.
-    let (new, acknowledges) = (search.extend(holders), search.acknowledges);
-    let known = self.spread.catalog().complete() >= search.needs;
-    if !search.waiting.is_empty() {
-      self.ask(now, flow, acknowledges, &new);
+    // Agents that have become known meanwhile are included.
+    let (new, acknowledges) = (search.add_queried(holders), search.acknowledges);
+    let known = self.spread.catalog().complete() >= search.required_revision;
+    if !search.pending.is_empty() {
+      self.query(now, flow, acknowledges, &new);
       self.try_unsure(now, flow, out);
       return;
     }
-    let asked = search.asked.len();
+    let queried = search.queried.len();
     if !known || !self.is_past_told(now) {
-      self.answered.insert(flow);
+      self.denied.insert(flow);
       return;
     }
     self.end_search(&flow);
@@ -175,14 +189,15 @@
       return;
     }
     log::info!(
-      flow:% = flow, asked = asked, acknowledges = acknowledges,
+      flow:% = flow, queried = queried, acknowledges = acknowledges,
       complete:% = self.spread.catalog().complete(), confirmed:? = self.spread.confirmed(now);
-      "balancer: flow is nowhere and is reset."
+      "balancer: all agents deny the flow, which is reset."
     );
-    self.bury(now, flow, acknowledges, out);
+    self.mark_dead(now, flow, acknowledges, out);
   }
 
-  pub(super) fn found(
+  /// Records that a flow is open at an agent, and sends the packets that were buffered for it.
+  pub(super) fn complete_search(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -194,7 +209,7 @@
       flow,
       Place {
         agent: from,
-        seen: now,
+        last_packet: now,
         service,
         state: State::Open,
       },
@@ -202,78 +217,80 @@
     let Some(search) = self.end_search(&flow) else {
       return;
     };
-    let time = now.saturating_duration_since(search.began);
+    let time = now.saturating_duration_since(search.started);
     self.counter.observe("search", time);
     log::info!(flow:% = flow, at:% = from; "balancer: flow is found.");
     if self.spread.catalog().route(&flow.route).is_none() {
       return;
     }
     for packet in search.packets_for(from) {
-      let held = self.codec.read_from_caller(packet).ok();
-      let held = held.filter(|head| self.egress.paces(head));
-      if held.is_none_or(|head| !self.egress.push(head, packet)) {
+      let head = self.codec.read_from_caller(packet).ok();
+      let head = head.filter(|head| self.egress.is_paced(head));
+      if head.is_none_or(|head| !self.egress.push(head, packet)) {
         self.carry(from, Purpose::Deliver, service, packet, out);
       }
     }
   }
 
-  pub(super) fn search_over(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
+  /// Widens a search that has timed out, repeats its queries or ends it.
+  pub(super) fn retry_search(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     let targets = &self.targets;
     let Some(search) = self.searches.get_mut(&flow) else {
       return;
     };
-    let narrow = !search.wide;
-    // One that does not keep in touch is not silent before it has had time to answer.
-    let early = now.saturating_duration_since(search.began) < self.tuning.silent;
-    let waits = early && !self.spread.knows_all();
-    search.keep(|agent| waits || !targets.is_lost(now, agent));
-    self.ask_rest(now, flow, out);
+    let was_narrow = !search.is_wide;
+    // An agent that exchanges no statuses with this balancer gets time to answer before it counts
+    // as lost.
+    let is_early = now.saturating_duration_since(search.started) < self.tuning.silent;
+    let may_answer = is_early && !self.spread.knows_all();
+    search.retain_pending(|agent| may_answer || !targets.is_lost(now, agent));
+    self.query_rest(now, flow, out);
     let Some(search) = self.searches.get_mut(&flow) else {
       return;
     };
-    if narrow {
+    if was_narrow {
       search.deadline = now + self.tuning.search;
-      self.searching.insert((search.deadline, flow));
+      self.search_deadlines.insert((search.deadline, flow));
       return;
     }
-    if search.is_first() {
+    if search.is_first_round() {
       log::info!(
-        flow:% = flow, silent:? = search.waiting, needs:% = search.needs;
-        "balancer: search has no answer."
+        flow:% = flow, unanswered:? = search.pending, required:% = search.required_revision;
+        "balancer: search timed out; unanswered queries are repeated."
       );
     }
-    if !search.ask_again(now, self.tuning.search) {
+    if !search.schedule_retry(now, self.tuning.search) {
       self.end_search(&flow);
       return;
     }
-    self.searching.insert((search.deadline, flow));
-    let (waiting, acknowledges) = (search.waiting.clone(), search.acknowledges);
-    self.ask(now, flow, acknowledges, &waiting);
+    self.search_deadlines.insert((search.deadline, flow));
+    let (pending, acknowledges) = (search.pending.clone(), search.acknowledges);
+    self.query(now, flow, acknowledges, &pending);
   }
 
-  /// Asks an agent that has just started for all flows that its word is awaited of.
-  pub(super) fn ask_new(&mut self, now: Instant, agent: SocketAddrV4) {
+  /// Queries an agent that has restarted about all flows that its answer is missing for.
+  pub(super) fn query_restarted(&mut self, now: Instant, agent: SocketAddrV4) {
     let searches = self.searches.iter_mut();
-    let awaited = searches.filter(|(_, search)| search.waiting.contains(&agent));
-    let awaited = awaited.map(|(flow, search)| {
+    let affected = searches.filter(|(_, search)| search.pending.contains(&agent));
+    let affected = affected.map(|(flow, search)| {
       search.try_again(agent);
       (*flow, search.acknowledges)
     });
-    for (flow, acknowledges) in awaited.collect::<BTreeMap<_, _>>() {
-      self.ask(now, flow, acknowledges, &[agent]);
+    for (flow, acknowledges) in affected.collect::<BTreeMap<_, _>>() {
+      self.query(now, flow, acknowledges, &[agent]);
     }
   }
 
-  /// Forgets a search, and what it holds.
+  /// Removes a search and its buffered packets.
   pub(super) fn end_search(&mut self, flow: &Flow) -> Option<Search> {
     let search = self.searches.remove(flow)?;
-    self.held_bytes -= search.bytes();
-    self.searching.remove(&(search.deadline, *flow));
+    self.buffered_bytes -= search.buffered_bytes();
+    self.search_deadlines.remove(&(search.deadline, *flow));
     Some(search)
   }
 
-  /// Puts questions to those that wait for the next tick.
-  fn ask(&mut self, now: Instant, flow: Flow, acknowledges: u32, agents: &[SocketAddrV4]) {
+  /// Adds queries, which are sent with the next timer.
+  fn query(&mut self, now: Instant, flow: Flow, acknowledges: u32, agents: &[SocketAddrV4]) {
     let services = self.spread.catalog().services(&flow.route);
     let services = services.iter().map(Service::digest).collect::<Digests>();
     for agent in agents {
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -16,33 +16,34 @@
   },
 };
 
-/// How long entries that left the list may still be given flows where nothing else is listed: the
-/// platform may have dropped them while it was away, and takes two seconds to list them again.
-pub(super) const LAPSED: Duration = Duration::from_secs(2);
+/// How long a target that was removed from the target list is still used if no other is listed: the
+/// platform may have dropped it while unavailable, and lists it again within two seconds.
+pub(super) const REMOVAL_GRACE: Duration = Duration::from_secs(2);
 
-/// A target as a balancer sees it, by the address of its agent.
+/// What a balancer knows of a target.
 #[derive(Clone, Debug)]
-pub struct Seen {
-  /// Which run of the upstream the list names.
+pub struct TargetState {
+  /// Start time of the upstream's incarnation that is listed.
   born: Option<Born>,
-  /// The data centre that it stands in.
+  /// The name of its data centre.
   pub data_centre: String,
-  /// When its entry left the list.
+  /// When it was removed from the target list.
   pub gone: Option<Instant>,
   heard: Option<Instant>,
   incarnation: Option<u32>,
   pub(super) load: Load,
-  /// Opening packets sent there that its load does not count yet.
+  /// When a flow last failed to open there: its agent did not answer, or the upstream is down or
+  /// full.
+  pub(super) open_failed: Option<Instant>,
+  /// Opening packets sent there that its reported load does not include yet.
   pub(super) pending: u16,
   pub(super) presence: Presence,
   pub(super) service: Service,
   pub(super) slots: u16,
   pub(super) stopping: bool,
-  /// Since when an opening packet is unanswered.
-  pub(super) unanswered: Option<Instant>,
 }
 
-impl Seen {
+impl TargetState {
   fn new(entry: &Entry) -> Self {
     Self {
       born: entry.target.born,
@@ -51,24 +52,24 @@
       heard: None,
       incarnation: None,
       load: Load::default(),
+      open_failed: None,
       pending: 0,
       presence: entry.target.presence,
       service: entry.target.service.clone(),
       slots: 1,
       stopping: false,
-      unanswered: None,
     }
   }
 
   fn updated(mut self, entry: &Entry) -> Self {
     if self.gone.is_some() && entry.gone.is_none() {
-      self.unanswered = None;
+      self.open_failed = None;
     }
     if entry.target.born > self.born {
-      // What was learnt of the run before says nothing of this one.
+      // The load of the previous incarnation says nothing of this one.
       self.load = Load::default();
       self.pending = 0;
-      self.unanswered = None;
+      self.open_failed = None;
     }
     self.born = entry.target.born.max(self.born);
     self.data_centre.clone_from(&entry.target.data_centre);
@@ -80,48 +81,50 @@
   }
 }
 
-/// Which run of an agent spoke.
+/// What a status shows about an agent's incarnation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Run {
-  /// The first that was heard of.
+pub enum IncarnationChange {
+  /// The first one seen.
   First,
-  /// The one that was heard of before.
-  Known,
-  /// Another one than before: the agent has started again.
-  Next,
+  /// Another than before: the agent has restarted.
+  Restarted,
+  /// The same as before.
+  Same,
 }
 
-/// A target that left the list before this process knew it.
+/// A target that was removed from the target list before this process saw it there.
 #[derive(Clone, Debug)]
-struct Past {
+struct RemovedTarget {
   gone: Instant,
-  /// When its agent was last heard of.
+  /// When a frame last came from its agent.
   heard: Option<Instant>,
-  /// When this process was told of it.
+  /// When this process learnt of it.
   learnt: Instant,
   service: Service,
 }
 
-/// The targets that a balancer knows.
+/// All targets that a balancer knows, listed or removed.
 #[derive(Debug)]
 pub struct Targets {
-  pub(super) by_agent: BTreeMap<SocketAddrV4, Seen>,
+  pub(super) by_agent: BTreeMap<SocketAddrV4, TargetState>,
   pub(super) closures: Closures,
   pub(super) data_centre: String,
+  /// Targets that were removed before this process saw them listed, as reported by agents and
+  /// peers.
+  past: BTreeMap<SocketAddrV4, RemovedTarget>,
   port: u16,
-  /// Targets that left the list before this process knew them, by what agents and peers say.
-  past: BTreeMap<SocketAddrV4, Past>,
   pub(super) services: BTreeMap<Service, Vec<SocketAddrV4>>,
   started: Instant,
-  /// When agents were last heard of whose targets neither the list nor anybody names.
-  strangers: BTreeMap<SocketAddrV4, Instant>,
   pub(super) tuning: Tuning,
-  /// What is stated of cold targets.
+  /// Agents that send their status but whose targets are neither listed nor reported as removed,
+  /// with the time of the last status.
+  unlisted: BTreeMap<SocketAddrV4, Instant>,
+  /// The rates at which warming-up targets accept new flows.
   pub(super) warmups: BTreeMap<Service, Warmup>,
 }
 
 impl Targets {
-  /// No targets; `data_centre` is the balancer's own, `port` the one that agents listen at.
+  /// No targets. `data_centre` is the balancer's own; `port` is where agents receive frames.
   pub fn new(now: Instant, data_centre: String, port: u16, tuning: &Tuning) -> Self {
     Self {
       by_agent: BTreeMap::new(),
@@ -131,18 +134,18 @@
       port,
       services: BTreeMap::new(),
       started: now,
-      strangers: BTreeMap::new(),
       tuning: *tuning,
+      unlisted: BTreeMap::new(),
       warmups: BTreeMap::new(),
     }
   }
 
-  /// The agents of all listed targets.
+  /// The agents of all listed targets, by whether they are in this data centre.
   pub fn agents(&self) -> Agents {
     let mut agents = Agents::default();
     let listed = self.by_agent.iter();
-    for (agent, seen) in listed.filter(|(_, seen)| seen.gone.is_none()) {
-      if seen.data_centre == self.data_centre {
+    for (agent, target) in listed.filter(|(_, target)| target.gone.is_none()) {
+      if target.data_centre == self.data_centre {
         agents.near.push(*agent);
       } else {
         agents.far.push(*agent);
@@ -151,211 +154,225 @@
     agents
   }
 
-  /// How old the last word of an agent is, in milliseconds.
+  /// How long ago an agent's last frame came, in milliseconds; none if none has come.
   pub fn age_ms(&self, now: Instant, agent: SocketAddrV4) -> Option<u64> {
     let heard = self.by_agent.get(&agent)?.heard?;
     Some(now.saturating_duration_since(heard).as_millis() as u64)
   }
 
-  /// The service of an agent's target.
+  /// The service of an agent's target; none if the agent is not known.
   pub fn service(&self, agent: SocketAddrV4) -> Option<&Service> {
-    self.by_agent.get(&agent).map(|seen| &seen.service)
+    self.by_agent.get(&agent).map(|target| &target.service)
   }
 
-  /// The agents that may have a flow of services: those of listed targets and of past ones, and those
-  /// that are heard of and that nobody names. A target that left the list may live, and where nobody
-  /// remembers it, its agent still tells of itself.
+  /// The agents that may own a flow of some services: those of listed, removed and unlisted
+  /// targets. A removed target may still run.
   pub fn holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
     let holders = services.iter();
     let holders = holders.filter_map(|service| self.services.get(service));
-    holders.flatten().chain(self.strangers.keys()).copied()
+    holders.flatten().chain(self.unlisted.keys()).copied()
   }
 
-  /// Whether an agent's target stands in this data centre, as far as known.
+  /// Whether an agent's target is known to be in this data centre.
   pub fn is_near(&self, agent: SocketAddrV4) -> bool {
-    let seen = self.by_agent.get(&agent);
-    seen.is_some_and(|seen| seen.data_centre == self.data_centre)
+    let target = self.by_agent.get(&agent);
+    target.is_some_and(|target| target.data_centre == self.data_centre)
   }
 
-  /// Those of them that stand in this data centre.
+  /// Those of the holders that are in this data centre.
   pub fn near_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
     self.holders(services).filter(|agent| self.is_near(*agent))
   }
 
-  /// Whether an agent's silence has lasted, and its target has left the list: nothing is there.
+  /// Whether an agent no longer exists: its target was removed from the target list, and it has
+  /// sent nothing within the timeout.
   pub fn is_lost(&self, now: Instant, agent: SocketAddrV4) -> bool {
-    // A process that has just started has had no time to hear anybody.
+    // This process may not have run long enough to receive a status from every agent.
     if now.saturating_duration_since(self.started) < self.tuning.silent {
       return false;
     }
-    let long = |gone: Instant| now.saturating_duration_since(gone) >= LAPSED;
+    let is_past_grace = |gone: Instant| now.saturating_duration_since(gone) >= REMOVAL_GRACE;
     match (self.by_agent.get(&agent), self.past.get(&agent)) {
-      (Some(seen), _) => seen.gone.is_some_and(long) && !self.is_heard(now, seen),
+      (Some(target), _) => target.gone.is_some_and(is_past_grace) && !self.is_heard(now, target),
       (None, Some(past)) => {
         let last = past.heard.unwrap_or(past.learnt);
-        long(past.gone) && now.saturating_duration_since(last) >= self.tuning.silent
+        is_past_grace(past.gone) && now.saturating_duration_since(last) >= self.tuning.silent
       }
-      (None, None) => !self.strangers.contains_key(&agent),
+      (None, None) => !self.unlisted.contains_key(&agent),
     }
   }
 
-  /// An agent says which targets left the list, and how long ago; true when one was not known.
-  pub fn learn(&mut self, now: Instant, service: &Service, past: &[(SocketAddrV4, u32)]) -> bool {
-    let mut learnt = false;
+  /// Adds targets of a service that were removed from the target list, each with its age in
+  /// milliseconds; true if one of them is new.
+  pub fn add_removed(
+    &mut self,
+    now: Instant,
+    service: &Service,
+    past: &[(SocketAddrV4, u32)],
+  ) -> bool {
+    let mut is_new = false;
     for (upstream, age_ms) in past {
       let agent = SocketAddrV4::new(*upstream.ip(), self.port);
       let agents = self.services.entry(service.clone()).or_default();
       if agents.contains(&agent) {
         continue;
       }
-      let gone = now.checked_sub(Duration::from_millis((*age_ms).into()));
+      let removed = now.checked_sub(Duration::from_millis((*age_ms).into()));
       agents.push(agent);
-      self.strangers.remove(&agent);
-      let past = Past {
-        gone: gone.unwrap_or(now),
+      self.unlisted.remove(&agent);
+      let past = RemovedTarget {
+        gone: removed.unwrap_or(now),
         heard: None,
         learnt: now,
         service: service.clone(),
       };
       self.past.insert(agent, past);
-      learnt = true;
+      is_new = true;
     }
-    learnt
+    is_new
   }
 
-  /// A peer says which targets left the list.
+  /// Adds the removed targets that a peer has reported.
   pub fn remember(&mut self, now: Instant, past: &[Gone]) {
     for gone in past {
-      self.learn(now, &gone.service, &[(gone.address, gone.age_ms)]);
+      self.add_removed(now, &gone.service, &[(gone.address, gone.age_ms)]);
     }
   }
 
-  /// The targets that left the list in the lifetime of the flows, as far as known.
+  /// The targets that were removed within the lifetime of a flow.
   pub fn past(&self, now: Instant, catalog: &Catalog) -> Vec<Gone> {
-    let left = catalog.entries().filter_map(|(_, entry)| {
+    let removed = catalog.entries().filter_map(|(_, entry)| {
       Some(Gone {
         address: entry.target.address,
         age_ms: age_ms(now, entry.gone?),
         service: entry.target.service.clone(),
       })
     });
-    let told = self.past.iter().map(|(agent, past)| Gone {
-      // Where its agent listens is all that counts.
+    let reported = self.past.iter().map(|(agent, past)| Gone {
+      // Only its IP address is used: agents listen on a fixed port.
       address: *agent,
       age_ms: age_ms(now, past.gone),
       service: past.service.clone(),
     });
-    left.chain(told).collect()
+    removed.chain(reported).collect()
   }
 
-  /// A frame with the load of a target came.
-  pub fn loaded(&mut self, now: Instant, agent: SocketAddrV4, load: Load) {
-    if let Some(seen) = self.by_agent.get_mut(&agent) {
-      seen.heard = Some(now);
-      seen.load = load;
-      seen.pending = 0;
+  /// Records the load that an agent reports, which includes all opening packets sent to it.
+  pub fn record_load(&mut self, now: Instant, agent: SocketAddrV4, load: Load) {
+    if let Some(target) = self.by_agent.get_mut(&agent) {
+      target.heard = Some(now);
+      target.load = load;
+      target.pending = 0;
     }
   }
 
-  /// An agent refuses new flows, since its data centre is closed.
-  pub fn closed(&mut self, now: Instant, agent: SocketAddrV4) {
-    if let Some(seen) = self.by_agent.get(&agent) {
-      self.closures.hear(now, &seen.data_centre);
+  /// Records that an agent refuses new flows because its data centre is closed.
+  pub fn record_closed(&mut self, now: Instant, agent: SocketAddrV4) {
+    if let Some(target) = self.by_agent.get(&agent) {
+      self.closures.record_refusal(now, &target.data_centre);
     }
   }
 
-  /// Whether a service has targets, and all are in data centres that are closed: no new flow can go
-  /// anywhere.
-  pub fn is_shut(&self, now: Instant, service: &Service) -> bool {
+  /// Whether a service has targets and all of them are in closed data centres.
+  pub fn all_closed(&self, now: Instant, service: &Service) -> bool {
     let listed = self.by_agent.values();
     let mut listed = listed
-      .filter(|seen| seen.service == *service && seen.gone.is_none())
+      .filter(|target| target.service == *service && target.gone.is_none())
       .peekable();
-    listed.peek().is_some() && listed.all(|seen| self.closures.is_closed(now, &seen.data_centre))
+    listed.peek().is_some()
+      && listed.all(|target| self.closures.is_closed(now, &target.data_centre))
   }
 
-  /// An opening packet was sent.
-  pub fn placed(&mut self, agent: SocketAddrV4) {
-    if let Some(seen) = self.by_agent.get_mut(&agent) {
-      seen.pending = seen.pending.saturating_add(1);
+  /// Counts an opening packet that was sent to an agent, until it reports its load.
+  pub fn count_opening(&mut self, agent: SocketAddrV4) {
+    if let Some(target) = self.by_agent.get_mut(&agent) {
+      target.pending = target.pending.saturating_add(1);
     }
   }
 
-  /// The target answered an opening packet.
-  pub fn opened(&mut self, agent: SocketAddrV4) {
-    if let Some(seen) = self.by_agent.get_mut(&agent) {
-      seen.unanswered = None;
+  /// Clears the record of an opening failure, since the target has opened a flow.
+  pub fn clear_failure(&mut self, agent: SocketAddrV4) {
+    if let Some(target) = self.by_agent.get_mut(&agent) {
+      target.open_failed = None;
     }
   }
 
-  /// An agent told of itself; what that shows of its run.
-  pub fn status(&mut self, now: Instant, agent: SocketAddrV4, status: &Status, load: Load) -> Run {
-    let Some(seen) = self.by_agent.get_mut(&agent) else {
+  /// Records an agent's status. Returns what it shows about the agent's incarnation.
+  pub fn record_status(
+    &mut self,
+    now: Instant,
+    agent: SocketAddrV4,
+    status: &Status,
+    load: Load,
+  ) -> IncarnationChange {
+    let Some(target) = self.by_agent.get_mut(&agent) else {
       match self.past.get_mut(&agent) {
         Some(past) => past.heard = Some(now),
         None => {
-          self.strangers.insert(agent, now);
+          self.unlisted.insert(agent, now);
         }
       }
-      return Run::Known;
+      return IncarnationChange::Same;
     };
-    let before = seen.incarnation.replace(status.incarnation);
-    seen.stopping = status.stopping;
-    let run = match before {
-      None => Run::First,
-      Some(before) if before != status.incarnation => Run::Next,
-      Some(_) => Run::Known,
+    let before = target.incarnation.replace(status.incarnation);
+    target.stopping = status.stopping;
+    let change = match before {
+      None => IncarnationChange::First,
+      Some(before) if before != status.incarnation => IncarnationChange::Restarted,
+      Some(_) => IncarnationChange::Same,
     };
-    if run == Run::Next {
-      seen.unanswered = None;
+    if change == IncarnationChange::Restarted {
+      target.open_failed = None;
     }
-    self.loaded(now, agent, load);
-    run
+    self.record_load(now, agent, load);
+    change
   }
 
-  /// An opening packet was not answered in time.
-  pub fn unanswered(&mut self, now: Instant, agent: SocketAddrV4) {
-    if let Some(seen) = self.by_agent.get_mut(&agent) {
-      seen.unanswered = Some(now);
+  /// Records that a flow failed to open at an agent's target.
+  pub fn record_failure(&mut self, now: Instant, agent: SocketAddrV4) {
+    if let Some(target) = self.by_agent.get_mut(&agent) {
+      target.open_failed = Some(now);
     }
   }
 
-  /// What is known of each target, for an operator.
+  /// The state of each target, as JSON for operators.
   pub fn dump(&self, now: Instant) -> serde_json::Value {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-    let seen = self.by_agent.iter().map(|(agent, seen)| {
+    let targets = self.by_agent.iter().map(|(agent, target)| {
       json!({
         "agent": agent.to_string(),
-        "cost_ms": self.cost(now, seen, self.typical(&seen.service)),
-        "data_centre": seen.data_centre,
-        "gone_ms": seen.gone.map(age),
-        "heard_ms": seen.heard.map(age),
-        "load": seen.load,
-        "pending": seen.pending,
-        "presence": seen.presence,
-        "service": seen.service,
-        "stopping": seen.stopping,
-        "unanswered_ms": seen.unanswered.map(age),
+        "cost_ms": self.cost(now, target, self.medians(&target.service)),
+        "data_centre": target.data_centre,
+        "gone_ms": target.gone.map(age),
+        "heard_ms": target.heard.map(age),
+        "load": target.load,
+        "pending": target.pending,
+        "presence": target.presence,
+        "service": target.service,
+        "stopping": target.stopping,
+        "unanswered_ms": target.open_failed.map(age),
       })
     });
-    seen.collect()
+    targets.collect()
   }
 
-  /// Forgets targets that left the list before the oldest flow began.
+  /// Removes targets that were removed from the list longer ago than a flow lives, and unlisted
+  /// agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
     let (life, silent) = (self.tuning.amnesia, self.tuning.silent);
     self
-      .strangers
+      .unlisted
       .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
     self
       .past
       .retain(|_, past| now.saturating_duration_since(past.gone) < life);
   }
 
-  /// Takes the list as it is now.
+  /// Replaces the targets by those of the catalog; what is known of their load is kept.
   pub fn update(&mut self, catalog: &Catalog) {
     let configuration = catalog.configuration();
-    self.warmups = configuration.map_or_else(BTreeMap::new, |held| held.warmups.clone());
+    self.warmups =
+      configuration.map_or_else(BTreeMap::new, |configuration| configuration.warmups.clone());
     let mut before = std::mem::take(&mut self.by_agent);
     self.services.clear();
     let mut newest: HashMap<SocketAddrV4, &Entry> = HashMap::new();
@@ -367,9 +384,9 @@
         agents.push(agent);
       }
       let age = |entry: &Entry| (entry.gone.is_none(), entry.revision);
-      let held = newest.entry(agent).or_insert(entry);
-      if age(held) < age(entry) {
-        *held = entry;
+      let newer = newest.entry(agent).or_insert(entry);
+      if age(newer) < age(entry) {
+        *newer = entry;
       }
     }
     for (agent, past) in &self.past {
@@ -379,20 +396,22 @@
       }
     }
     for (agent, entry) in newest {
-      self.strangers.remove(&agent);
-      let seen = before.remove(&agent).unwrap_or_else(|| Seen::new(entry));
-      self.by_agent.insert(agent, seen.updated(entry));
+      self.unlisted.remove(&agent);
+      let target = before
+        .remove(&agent)
+        .unwrap_or_else(|| TargetState::new(entry));
+      self.by_agent.insert(agent, target.updated(entry));
     }
   }
 
-  pub(super) fn is_heard(&self, now: Instant, seen: &Seen) -> bool {
-    seen
+  pub(super) fn is_heard(&self, now: Instant, target: &TargetState) -> bool {
+    target
       .heard
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
   }
 }
 
-/// How long ago something was, in milliseconds.
+/// The age of an event, in milliseconds.
 fn age_ms(now: Instant, at: Instant) -> u32 {
   now.saturating_duration_since(at).as_millis() as u32
 }
--- a/src/datagram/balancer/trying.rs
+++ b/src/datagram/balancer/trying.rs
@@ -1,4 +1,4 @@
-//! How a balancer has packets tried at agents that cannot say whether they have a flow.
+//! Tests flows at agents that cannot answer a query without a packet of the flow.
 
 use {
   super::machine::Machine,
@@ -13,13 +13,14 @@
   },
 };
 
-/// How often a flow's packet is tried somewhere while agents that may have the flow are silent: once
-/// in its life, since one that is cut off from a full link may be silent for ten seconds.
+/// How often a flow is tested while agents that may own it have not answered: about once in its
+/// life, since an agent behind a congested link may not answer for long.
 pub(super) const TRY_EVERY: Duration = Duration::from_mins(1);
 
 impl<C: Codec> Machine<C> {
-  /// An agent that has just started needs packets to say whether it has their flows.
-  pub(super) fn unsure(
+  /// Records that an agent needs packets to determine whether it owns some flows, and sends them as
+  /// far as they are due.
+  pub(super) fn record_unsure(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -29,19 +30,16 @@
   ) {
     for flow in flows {
       if let Some(search) = self.searches.get_mut(flow) {
-        search.is_unsure(from, service);
-        self.conclude(now, *flow, out);
+        search.mark_unsure(from, service);
+        self.advance_search(now, *flow, out);
         self.try_unsure(now, *flow, out);
       }
     }
   }
 
-  /// Gives agents that cannot say a packet to try. While others that may have the flow are silent it
-  /// is one: an open flow whose own agent's word was lost had packets at three other targets, and its
-  /// caller waited for an answer that none of them could give. Once nobody is silent all are tried
-  /// together, the flow's own among them. Where most have just started and no balancer
-  /// remembers more, all have lost power: somebody is silent for seconds then, and those that cannot
-  /// say try at once.
+  /// Sends a packet to agents as a test of whether they own its flow. While others have not
+  /// answered, only one agent is tested, since most likely one of the others owns the flow. All are
+  /// tested at once when everyone has answered, or when all processes have lost power.
   pub(super) fn try_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     if self.spread.catalog().route(&flow.route).is_none() {
       return;
@@ -50,25 +48,25 @@
       return;
     };
     let mut agents = search.to_try();
-    // The cheap conditions first: there is a search for each flow that was open.
-    let careful = !agents.is_empty() && search.has_silent();
-    let lost = careful && search.is_mostly_unsure() && self.is_past_lost(now);
-    if careful && !lost {
+    // Cheap checks first: after a restart there is a search for each open flow.
+    let is_uncertain = !agents.is_empty() && search.has_unanswered();
+    let is_history_gone = is_uncertain && search.is_majority_unsure() && self.is_past_lost(now);
+    if is_uncertain && !is_history_gone {
       let recent = |at: &Instant| now.saturating_duration_since(*at) < TRY_EVERY;
-      let recent = self.tried.get(&flow).is_some_and(recent);
-      agents.truncate(usize::from(!recent));
+      let was_tested = self.last_tested.get(&flow).is_some_and(recent);
+      agents.truncate(usize::from(!was_tested));
     }
     if !agents.is_empty()
       && let Some(packet) = search.probe(&agents)
     {
-      self.tried.insert(flow, now);
+      self.last_tested.insert(flow, now);
       self.try_at(now, &agents, packet, out);
     }
     self.searches.insert(flow, search);
   }
 
-  /// Has a packet tried at agents. Several are reached through one of them: a request of 900 bytes to 65
-  /// agents takes 50 ms of a link of 10 Mbit/s, and callers of 100 dead flows had gone meanwhile.
+  /// Sends a test to agents. Several get it through one of them, so that the packet crosses this
+  /// instance's link once.
   fn try_at(
     &mut self,
     now: Instant,
@@ -77,24 +75,24 @@
     out: &mut Outbox,
   ) {
     if let [(agent, service)] = agents {
-      self.questions.spend(now);
+      self.questions.charge(now);
       self.carry(*agent, Purpose::Test, *service, packet, out);
       return;
     }
     for agents in agents.chunks(fan_max(packet.len())) {
-      let mut near = agents
+      let mut local = agents
         .iter()
         .filter(|(agent, _)| self.targets.is_near(*agent));
-      let Some((through, _)) = near.next().or(agents.first()) else {
+      let Some((relay, _)) = local.next().or(agents.first()) else {
         return;
       };
-      self.questions.spend(now);
+      self.questions.charge(now);
       let frame = Frame::Fan {
         agents: agents.to_vec(),
         complete: self.spread.catalog().complete(),
         version: self.spread.catalog().version(),
       };
-      out.frame(*through, &frame, packet);
+      out.frame(*relay, &frame, packet);
     }
   }
 }
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -1,4 +1,4 @@
-//! How new flows wait in a balancer until a target can take them.
+//! Queues new flows until a target can take them.
 
 use {
   super::{
@@ -17,13 +17,11 @@
   },
 };
 
-/// What a target's answer to an opening packet takes to reach the caller at most, where neither is
-/// busy.
-const ANSWER: Duration = Duration::from_millis(20);
+/// The longest time that a target's answer takes to reach the caller if neither is busy.
+const ANSWER_LATENCY_MAX: Duration = Duration::from_millis(20);
 
 impl<C: Codec> Machine<C> {
-  /// Keeps an opening packet until a target can take it, if there is hope for it; its caller is
-  /// told at once if there is none.
+  /// Queues an opening packet, or gives it up if the queue of its service is full.
   pub(super) fn park(
     &mut self,
     now: Instant,
@@ -33,17 +31,17 @@
     choice: Option<Choice>,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    if (self.parking.len(service) as f64) < self.room(now, service) {
+    if (self.parking.len(service) as f64) < self.queue_capacity(now, service) {
       log::info!(
         flow:% = flow, service:% = service, wait_ms:? = choice.map(|choice| choice.wait_ms),
-        before = self.parking.len(service);
-        "balancer: flow waits for a target."
+        ahead = self.parking.len(service);
+        "balancer: flow is queued until a target can take it."
       );
       let lane = self.lane(&flow, service);
       self.parking.park(now, &lane, (opening.first, flow));
       let place = Place {
         agent: self.spread.address(),
-        seen: now,
+        last_packet: now,
         service: service.digest(),
         state: State::Parked(lane, opening),
       };
@@ -54,39 +52,39 @@
       flow:% = flow, service:% = service, at:? = choice.map(|choice| choice.agent),
       wait_ms:? = choice.map(|choice| choice.wait_ms),
       age_ms:? = choice.and_then(|choice| self.targets.age_ms(now, choice.agent)),
-      version:% = self.spread.catalog().version(), parked = self.parking.len(service);
-      "balancer: wait is too long."
+      version:% = self.spread.catalog().version(), queued = self.parking.len(service);
+      "balancer: admission queue is full."
     );
     self.give_up(now, &flow, &opening, out);
     Err(Code::QueueFull)
   }
 
-  /// How many flows of a service may wait: as many as its targets answer while their callers wait.
-  /// One more would wait in vain and is told at once. Callers do not come to all balancers alike, so
-  /// each may fill the room alone: with an equal share for each, 123 of 155 failed requests were of
-  /// callers of a data centre with one balancer of five.
-  fn room(&self, now: Instant, service: &Service) -> f64 {
+  /// How many flows of a service may be queued: as many as its targets can answer before callers
+  /// give up. Balancers don't divide this among themselves, since they may get very different
+  /// shares of the callers.
+  fn queue_capacity(&self, now: Instant, service: &Service) -> f64 {
     self.targets.rate(now, service) * C::PATIENCE.as_secs_f64()
   }
 
-  /// Forgets a flow that no target was given, as far as this process knows, and tells its caller;
-  /// but not where a copy that did not come here may have had it opened by another balancer.
+  /// Removes a flow that no target has opened, as far as this balancer knows. It is reset unless a
+  /// transmission that did not come here may have opened it through another balancer.
   pub(super) fn give_up(&mut self, now: Instant, flow: &Flow, opening: &Opening, out: &mut Outbox) {
-    let age = now.saturating_duration_since(opening.began);
-    // Half a gap for the time that packets take.
-    let missed = opening.copy + 1 < C::COPIES && age >= C::GAP / 2;
-    let told = !opening.may_be_open && !missed;
+    let age = now.saturating_duration_since(opening.received);
+    // Half of the interval allows for the time that packets take.
+    let may_be_missing = opening.attempt + 1 < C::COPIES && age >= C::GAP / 2;
+    let is_reset = !opening.may_be_open && !may_be_missing;
     log::info!(
-      flow:% = flow, age:? = age, copy = opening.copy, told = told; "balancer: flow is given up."
+      flow:% = flow, age:? = age, attempt = opening.attempt, reset = is_reset;
+      "balancer: flow is given up."
     );
     self.flows.remove(flow);
-    if told {
+    if is_reset {
       self.reset(flow, 0, out);
     }
   }
 
-  /// Sends parked flows to targets that can take them, those of the highest priority first.
-  pub(super) fn release(&mut self, now: Instant, out: &mut Outbox) {
+  /// Sends queued flows to targets that can take them, the highest priority first.
+  pub(super) fn place_queued(&mut self, now: Instant, out: &mut Outbox) {
     for lane in self.parking.due(now) {
       self.expire_parked(now, &lane, out);
       while let Some((parked, choice)) = self.next_parked(now, &lane) {
@@ -96,33 +94,32 @@
     }
   }
 
-  /// The next flow of a lane for a target that is not busy, as far as known here, and the target.
+  /// The next flow of a lane to be sent, with its target; none if it would wait too long at every
+  /// target.
   fn next_parked(&self, now: Instant, lane: &Lane) -> Option<(Parked, Choice)> {
     let (_, newest) = self.parking.newest(lane)?;
     let choice = self.choose(now, &newest, &lane.service, &Tried::new())?;
     let parked = self.most_urgent(now, lane, &choice)?;
     let (first, flow) = parked;
     let waited_ms = now.saturating_duration_since(first).as_secs_f64() * 1000.0;
-    let fits =
+    let is_soon =
       choice.is_free || !self.is_too_long(&flow, &lane.service, choice.wait_ms + waited_ms);
-    fits.then_some((parked, choice))
+    is_soon.then_some((parked, choice))
   }
 
-  /// The flow of a lane that gains the most by going to a target: the newest, if it is answered in
-  /// time there. If not, all are late, and the first goes first whose caller is still there for
-  /// certain: a third of the flows placed from the oldest on were of callers who had gone, and kept
-  /// their places until it showed.
+  /// The flow of a lane to be sent to a target first: the newest if it is answered in time there.
+  /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting.
   fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Parked> {
     let newest = self.parking.newest(lane)?;
     if self.is_in_time(now, newest, choice) {
       return Some(newest);
     }
-    let heard = now.checked_sub(C::heard()).unwrap_or(now);
-    self.parking.oldest_since(lane, heard).or(Some(newest))
+    let since = now.checked_sub(C::heard()).unwrap_or(now);
+    self.parking.oldest_since(lane, since).or(Some(newest))
   }
 
-  /// Whether a flow is answered within its route's objective at a target, counted from the first
-  /// copy of its opening packet.
+  /// Whether a flow would be answered within its route's objective, counted from when the caller
+  /// started.
   fn is_in_time(&self, now: Instant, (first, flow): Parked, choice: &Choice) -> bool {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return false;
@@ -131,8 +128,8 @@
     now.saturating_duration_since(first) + wait <= route.objective
   }
 
-  /// Sends a flow that waited to a target; false where its route no longer leads to the service: it is
-  /// placed as a new one, if the route is still there.
+  /// Sends a queued flow to a target; false if its route no longer leads to the service. It is then
+  /// placed anew, or given up if its route was removed.
   fn send_parked(
     &mut self,
     now: Instant,
@@ -142,7 +139,7 @@
     out: &mut Outbox,
   ) -> bool {
     let (_, flow) = parked;
-    self.parking.take(lane, parked);
+    self.parking.remove(lane, parked);
     let Some(opening) = self.parked(&flow).cloned() else {
       return false;
     };
@@ -156,15 +153,21 @@
       }
       return false;
     }
-    let waited = now.saturating_duration_since(opening.began);
+    let waited = now.saturating_duration_since(opening.received);
     self.counter.observe("wait", waited);
     self.send_to(now, flow, &lane.service, opening, choice, out);
     true
   }
 
-  /// An agent keeps a place for one of the flows that wait for its target.
-  pub(super) fn granted(&mut self, now: Instant, from: SocketAddrV4, load: Load, out: &mut Outbox) {
-    self.targets.loaded(now, from, load);
+  /// Uses a slot that an agent has reserved for a queued flow, or returns it if there is none.
+  pub(super) fn accept_grant(
+    &mut self,
+    now: Instant,
+    from: SocketAddrV4,
+    load: Load,
+    out: &mut Outbox,
+  ) {
+    self.targets.record_load(now, from, load);
     let Some(service) = self.targets.service(from).cloned() else {
       return;
     };
@@ -178,7 +181,7 @@
     out.frame(from, &frame, &[]);
   }
 
-  /// Sends a flow that waits to the target that has a place for it; false where none waits.
+  /// Sends a queued flow to a target that has reserved a slot; false if none is queued.
   fn use_grant(
     &mut self,
     now: Instant,
@@ -204,11 +207,11 @@
     false
   }
 
-  /// Tells agents how many flows wait for their targets, so that they grant places.
+  /// Sends the length of a service's queue to its agents, which reserve slots then.
   fn announce(&mut self, now: Instant, service: &Service, out: &mut Outbox) {
     let flows = self.parking.len(service);
     if flows == 0 {
-      self.announced.forget(service);
+      self.announced.remove(service);
       return;
     }
     if !self.announced.is_due(now, service, flows) {
@@ -223,7 +226,7 @@
     }
   }
 
-  /// The opening packet of a flow that waits.
+  /// The opening packet of a queued flow; none if it is not queued.
   fn parked(&self, flow: &Flow) -> Option<&Opening> {
     match &self.flows.get(flow)?.state {
       State::Parked(_, opening) => Some(opening),
@@ -231,31 +234,31 @@
     }
   }
 
-  /// A flow no longer waits: a target has it that was asked before.
+  /// Removes a flow from the queue.
   pub(super) fn unpark(&mut self, flow: &Flow) {
     if let Some(Place {
       state: State::Parked(lane, opening),
       ..
     }) = self.flows.get(flow)
     {
-      self.parking.take(lane, (opening.first, *flow));
+      self.parking.remove(lane, (opening.first, *flow));
     }
   }
 
-  /// Gives up flows whose callers do so themselves before a target's answer could reach them, and all
-  /// where no target may be given any.
+  /// Gives up flows whose callers would give up before an answer reached them, and all flows of a
+  /// service whose data centres are all closed.
   fn expire_parked(&mut self, now: Instant, lane: &Lane, out: &mut Outbox) {
-    let life = if self.targets.is_shut(now, &lane.service) {
+    let ttl = if self.targets.all_closed(now, &lane.service) {
       Duration::ZERO
     } else {
-      C::PATIENCE.saturating_sub(ANSWER)
+      C::PATIENCE.saturating_sub(ANSWER_LATENCY_MAX)
     };
     while let Some(parked) = self.parking.oldest(lane) {
       let (first, flow) = parked;
-      if now < first + life {
+      if now < first + ttl {
         return;
       }
-      self.parking.take(lane, parked);
+      self.parking.remove(lane, parked);
       let Some(opening) = self.parked(&flow).cloned() else {
         continue;
       };
