--- a/tests/datagram/balancer.rs
+++ b/tests/datagram/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer places flows, and keeps them where they are.
+//! Choice of targets for new flows, and delivery to the agents that own them.
 
 use {
   crate::{
@@ -18,7 +18,7 @@
 };
 
 #[test]
-fn a_flow_is_placed_where_it_waits_the_least() {
+fn a_flow_is_placed_on_the_target_with_the_shortest_wait() {
   let mut balancer = balancer();
   tell(&mut balancer, 11, 1, busy(4));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_unanswered_opening_packet_goes_on_to_the_next_target() {
+fn an_unanswered_opening_packet_is_sent_to_the_next_target() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_balancer_whose_answers_come_late_waits_longer_before_it_asks_the_next() {
+fn late_answers_lengthen_the_open_timeout() {
   let mut balancer = balancer();
   for port in 1..=40 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_copy_of_an_opening_packet_goes_where_the_answer_is_still_awaited() {
+fn a_retransmitted_opening_packet_goes_to_the_pending_target() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let first = carried(&sent)[0];
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_refused_opening_packet_goes_on_at_once() {
+fn a_refused_opening_packet_is_sent_to_the_next_target_at_once() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_address_that_another_service_reuses_gets_none_of_the_firsts_flows() {
+fn an_address_reused_by_another_service_gets_no_flows_of_the_first() {
   let mut balancer = balancer();
   let records = [
     unlisted(5, "up-11"),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn lapsed_targets_serve_for_a_moment_where_none_is_listed() {
+fn removed_targets_are_used_briefly_if_none_is_listed() {
   let mut balancer = balancer();
   let records = [unlisted(5, "up-11"), unlisted(6, "up-12")];
   balancer.platform(news(Some(4), 6, &records));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_dropped_route_is_told_at_once() {
+fn a_new_flow_to_a_removed_route_is_reset_at_once() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_route_that_may_have_come_unheard_is_not_reset() {
+fn an_unknown_route_is_not_reset_without_recent_confirmation() {
   let mut balancer = balancer();
   balancer.pass(Duration::from_secs(5));
   let sent = balancer.packet(Packet::open(flow(1, 9), 0));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_flow_that_a_silent_target_may_have_opened_is_not_reset() {
+fn a_flow_that_an_unresponsive_target_may_have_opened_is_not_reset() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_later_copy_of_an_opening_packet_is_not_reset() {
+fn a_retransmitted_opening_packet_is_not_reset() {
   let mut balancer = balancer();
   tell(&mut balancer, 11, 1, busy(24));
   tell(&mut balancer, 12, 1, busy(24));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_target_that_answers_far_too_soon_gets_no_flow_while_others_can_take_it() {
+fn a_fast_failing_target_gets_flows_only_if_all_others_are_full() {
   let mut balancer = balancer();
   let live = Presence::Live;
   let records = [
@@ -190,11 +190,11 @@
   for host in [11, 12, 13] {
     tell(&mut balancer, host, 1, load(40, 3));
   }
-  // It fails at once what it is given, so that it never has any work.
+  // A target that fails everything at once never has any work.
   tell(&mut balancer, 14, 1, load(1, 0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_matches!(carried(&sent)[..], [(11..=13, Purpose::Open)]);
-  // Where the others are full, it is better than none.
+  // It is still used if all others are full.
   for host in [11, 12, 13] {
     tell(&mut balancer, host, 1, load(40, 30));
   }
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -1,4 +1,4 @@
-//! What the tests of a balancer share.
+//! Helpers for the tests of a balancer.
 
 use {
   crate::{
@@ -16,15 +16,15 @@
   std::time::Duration,
 };
 
-/// A balancer that is stepped by hand.
+/// A balancer whose clock and input the test controls.
 pub type Balancer = Stepped<balancer::Machine<Plain>>;
 
-/// A balancer before two targets of service `a` and one of service `b`.
+/// A balancer with two targets of service `a` and one of service `b`.
 pub fn balancer() -> Balancer {
   balancer_with(None)
 }
 
-/// The same, on an instance whose link carries so much.
+/// The same, on an instance with a link of this rate.
 pub fn balancer_with(link: Option<Rate>) -> Balancer {
   let mut balancer = Stepped::balancer(1, link);
   let live = Presence::Live;
@@ -41,7 +41,7 @@
   balancer
 }
 
-/// An agent's run tells of itself.
+/// Feeds the status of an agent's incarnation.
 pub fn tell(balancer: &mut Balancer, host: u8, incarnation: u32, load: Load) -> Vec<Sent> {
   let status = Frame::Status(Status {
     balancers: vec![],
@@ -56,7 +56,7 @@
   balancer.frame(host, &status, &[])
 }
 
-/// A balancer tells of itself.
+/// Feeds the status of another balancer.
 pub fn told(balancer: &mut Balancer, host: u8) -> Vec<Sent> {
   let status = Status {
     balancers: vec![],
@@ -71,7 +71,7 @@
   balancer.frame(host, &Frame::Status(status), &[])
 }
 
-/// Who a packet was carried to, and what for.
+/// The hosts that packets were sent to, and for what purpose.
 pub fn carried(sent: &[Sent]) -> Vec<(u8, Purpose)> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(to, Frame::Carry { purpose, .. }, _) => Some((to.ip().octets()[3], *purpose)),
@@ -80,7 +80,7 @@
   frames.collect()
 }
 
-/// Whether a caller is told that a flow is over, with a sequence number.
+/// Whether a flow was reset with this sequence number.
 pub fn is_reset(sent: &[Sent], flow: Flow, sequence: u32) -> bool {
   sent.iter().any(|sent| {
     matches!(sent, Sent::Caller(packet)
@@ -88,7 +88,7 @@
   })
 }
 
-/// Who was asked for the flow `flow(1, 1)`.
+/// The hosts that were queried about `flow(1, 1)` alone.
 pub fn asked(sent: &[Sent]) -> Vec<u8> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(to, Frame::Ask { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
@@ -99,13 +99,14 @@
   frames.collect()
 }
 
-/// A packet of the flow `flow(1, 1)` that the balancer does not know, and who it asks.
+/// Feeds a packet of `flow(1, 1)`, which the balancer does not know. Returns the hosts that it
+/// queries.
 pub fn search(balancer: &mut Balancer) -> Vec<u8> {
   assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
   asked(&balancer.pass(Duration::ZERO))
 }
 
-/// The flow `flow(1, 1)` is not at the sender, who knows the list up to a revision.
+/// A denial of `flow(1, 1)` by an agent that knows the target list up to a revision.
 pub fn absent(complete: u64) -> Frame {
   Frame::Absent {
     flows: vec![flow(1, 1)],
@@ -117,7 +118,7 @@
   }
 }
 
-/// A load of so many requests.
+/// A load of this many requests.
 pub fn busy(work: u16) -> Load {
   Load {
     work,
@@ -125,7 +126,7 @@
   }
 }
 
-/// What is sent besides the word that flows wait.
+/// The given output without the frames that announce the length of the queue.
 pub fn but_backlog(sent: Vec<Sent>) -> Vec<Sent> {
   let sent = sent.into_iter();
   sent
--- a/tests/datagram/link.rs
+++ b/tests/datagram/link.rs
@@ -1,4 +1,4 @@
-//! A thin link before a balancer: callers' uploads arrive a window at a time, faster than it carries.
+//! Pacing of a balancer's output on a slow link, to which callers upload a window at a time.
 
 use {
   crate::{
@@ -10,25 +10,24 @@
   std::time::Duration,
 };
 
-/// What a caller keeps under way.
+/// The number of packets that a caller has in flight.
 const WINDOW: u32 = 16;
 
-/// The bytes of data in a packet of an upload.
-const DATA: u16 = 1200;
+const DATA_BYTES: u16 = 1200;
 
-/// How often the balancer is told of the time.
-const STEP: Duration = Duration::from_millis(5);
+/// The interval of the balancer's timer events.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How much the link's own queue takes before it drops.
-const QUEUE: Duration = Duration::from_millis(50);
+/// The capacity of the link's own queue, as sending time.
+const QUEUE_MAX: Duration = Duration::from_millis(50);
 
-fn thin() -> Rate {
+fn slow() -> Rate {
   Rate::megabits(2.0).expect("a rate")
 }
 
-/// A link of bounded rate and queue, as it meets what a balancer sends.
+/// A link with a limited rate and queue that drops what exceeds them.
 struct Link {
-  ahead: f64,
+  queued_bytes: f64,
   arrived: Vec<Packet>,
   lost: usize,
   rate: Rate,
@@ -37,34 +36,34 @@
 impl Link {
   fn new(rate: Rate) -> Self {
     Self {
-      ahead: 0.0,
+      queued_bytes: 0.0,
       arrived: Vec::new(),
       lost: 0,
       rate,
     }
   }
 
-  fn pass(&mut self, time: Duration) {
-    self.ahead = (self.ahead - self.rate.bytes_in(time)).max(0.0);
+  fn elapse(&mut self, time: Duration) {
+    self.queued_bytes = (self.queued_bytes - self.rate.bytes_in(time)).max(0.0);
   }
 
-  fn take(&mut self, sent: &[Sent]) {
+  fn receive(&mut self, sent: &[Sent]) {
     for sent in sent {
       let Sent::Frame(_, Frame::Carry { .. }, bytes) = sent else {
         continue;
       };
       let packet = Packet::read(bytes).expect("packet");
-      if self.ahead > self.rate.bytes_in(QUEUE) {
+      if self.queued_bytes > self.rate.bytes_in(QUEUE_MAX) {
         self.lost += 1;
         continue;
       }
-      self.ahead += bytes.len() as f64;
+      self.queued_bytes += bytes.len() as f64;
       self.arrived.push(packet);
     }
   }
 }
 
-/// A balancer that knows where the flows of the ports 1 to `flows` are.
+/// A balancer that knows that the flows of the ports 1 to `flows` are at host 11.
 fn with_flows(link: Option<Rate>, flows: u16) -> Balancer {
   let mut balancer = balancer_with(link);
   for port in 1..=flows {
@@ -75,52 +74,52 @@
 
 fn upload(port: u16, number: u32) -> Packet {
   Packet {
-    data: DATA,
+    data: DATA_BYTES,
     ..Packet::data(flow(port, 1), number, 100)
   }
 }
 
-/// Feeds a packet with all of its data.
+/// Feeds a packet together with its data.
 fn send(balancer: &mut Balancer, packet: Packet) -> Vec<Sent> {
   let mut bytes = packet.write();
   bytes.resize(bytes.len() + usize::from(packet.data), 0);
   balancer.step(Event::Packet(&mut bytes))
 }
 
-/// Sends each flow's window at once.
+/// Feeds a full window of each flow at once.
 fn send_windows(balancer: &mut Balancer, link: &mut Link, flows: u16) {
   for number in 0..WINDOW {
     for port in 1..=flows {
-      link.take(&send(balancer, upload(port, number)));
+      link.receive(&send(balancer, upload(port, number)));
     }
   }
 }
 
 fn pass(balancer: &mut Balancer, link: &mut Link, time: Duration) {
-  for _ in 0..time.as_millis() / STEP.as_millis() {
-    link.pass(STEP);
-    link.take(&balancer.pass(STEP));
+  for _ in 0..time.as_millis() / POLL_INTERVAL.as_millis() {
+    link.elapse(POLL_INTERVAL);
+    link.receive(&balancer.pass(POLL_INTERVAL));
   }
 }
 
 #[test]
-fn windows_that_arrive_at_once_leave_as_fast_as_the_link_carries() {
-  let (mut balancer, mut link) = (with_flows(Some(thin()), 3), Link::new(thin()));
+fn bursts_are_paced_to_the_rate_of_the_link() {
+  let (mut balancer, mut link) = (with_flows(Some(slow()), 3), Link::new(slow()));
   send_windows(&mut balancer, &mut link, 3);
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert_eq!((link.lost, link.arrived.len()), (0, 3 * WINDOW as usize));
 }
 
 #[test]
-fn without_the_links_rate_a_thin_link_loses_most_of_them() {
-  let (mut balancer, mut link) = (with_flows(None, 3), Link::new(thin()));
+fn bursts_overflow_a_slow_link_of_unknown_rate() {
+  let (mut balancer, mut link) = (with_flows(None, 3), Link::new(slow()));
   send_windows(&mut balancer, &mut link, 3);
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert!(link.lost > 30, "lost {}", link.lost);
 }
 
 #[test]
-fn a_broad_link_holds_nothing_back() {
+fn a_fast_link_delays_no_packets() {
   let mut balancer = with_flows(Rate::megabits(1000.0), 3);
   for port in 1..=3 {
     for number in 0..WINDOW {
@@ -131,35 +130,35 @@
 }
 
 #[test]
-fn small_and_opening_packets_go_before_large_ones_that_wait() {
-  let (mut balancer, mut link) = (with_flows(Some(thin()), 3), Link::new(thin()));
+fn small_and_opening_packets_overtake_queued_large_ones() {
+  let (mut balancer, mut link) = (with_flows(Some(slow()), 3), Link::new(slow()));
   send_windows(&mut balancer, &mut link, 2);
   let small = Packet::data(flow(3, 1), 2, 100);
   let sent = balancer.packet(small);
-  assert!(sent.iter().any(|sent| is_of(sent, small)), "{sent:?}");
+  assert!(sent.iter().any(|sent| carries(sent, small)), "{sent:?}");
   let opening = Packet::open(flow(4, 1), 0);
   let sent = balancer.packet(opening);
-  assert!(sent.iter().any(|sent| is_of(sent, opening)), "{sent:?}");
+  assert!(sent.iter().any(|sent| carries(sent, opening)), "{sent:?}");
 }
 
-fn is_of(sent: &Sent, packet: Packet) -> bool {
+fn carries(sent: &Sent, packet: Packet) -> bool {
   matches!(sent, Sent::Frame(_, Frame::Carry { .. }, bytes) if *bytes == packet.write())
 }
 
 #[test]
-fn a_packet_that_is_sent_again_while_it_waits_leaves_once() {
-  let (mut balancer, mut link) = (with_flows(Some(thin()), 1), Link::new(thin()));
+fn a_retransmission_of_a_queued_packet_is_dropped() {
+  let (mut balancer, mut link) = (with_flows(Some(slow()), 1), Link::new(slow()));
   send_windows(&mut balancer, &mut link, 1);
   for number in 12..WINDOW {
-    link.take(&send(&mut balancer, upload(1, number)));
+    link.receive(&send(&mut balancer, upload(1, number)));
   }
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert_eq!(link.arrived.len(), WINDOW as usize);
 }
 
 #[test]
-fn what_waits_for_the_link_is_bounded() {
-  let (mut balancer, mut link) = (with_flows(Some(thin()), 40), Link::new(thin()));
+fn the_egress_queue_is_bounded() {
+  let (mut balancer, mut link) = (with_flows(Some(slow()), 40), Link::new(slow()));
   send_windows(&mut balancer, &mut link, 40);
   pass(&mut balancer, &mut link, Duration::from_secs(10));
   assert_eq!(link.lost, 0);
@@ -168,27 +167,27 @@
 }
 
 #[test]
-fn packets_of_a_flow_that_is_found_wait_for_the_link_too() {
-  let (mut balancer, mut link) = (balancer_with(Some(thin())), Link::new(thin()));
+fn buffered_packets_of_a_found_flow_are_paced() {
+  let (mut balancer, mut link) = (balancer_with(Some(slow())), Link::new(slow()));
   for number in 0..WINDOW {
     send(&mut balancer, upload(1, number));
   }
-  pass(&mut balancer, &mut link, STEP);
-  link.take(&balancer.frame(11, &found(flow(1, 1)), &[]));
+  pass(&mut balancer, &mut link, POLL_INTERVAL);
+  link.receive(&balancer.frame(11, &found(flow(1, 1)), &[]));
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert_eq!((link.lost, link.arrived.len()), (0, WINDOW as usize));
 }
 
 #[test]
-fn questions_take_a_part_of_a_thin_link_only() {
-  let mut balancer = balancer_with(Some(thin()));
-  let mut questions = 0;
+fn queries_take_only_a_fraction_of_a_slow_link() {
+  let mut balancer = balancer_with(Some(slow()));
+  let mut queries = 0;
   for port in 1..=2000 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
     let sent = balancer.pass(Duration::from_micros(500));
-    let asks = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Ask { .. }, _));
-    questions += sent.iter().filter(asks).count();
+    let is_query = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Ask { .. }, _));
+    queries += sent.iter().filter(is_query).count();
   }
-  // An eighth of the link carries 488 of them in the second.
-  assert!((100..600).contains(&questions), "asked {questions}");
+  // An eighth of the link carries 488 queries in this second.
+  assert!((100..600).contains(&queries), "sent {queries} queries");
 }
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -1,4 +1,5 @@
-//! Balancers tell each other which targets have left the list.
+//! Exchange of history between balancers: a flow must not be reset while a removed target may own
+//! it.
 
 use {
   crate::{
@@ -17,7 +18,7 @@
   std::time::Duration,
 };
 
-fn gone(host: u8) -> Gone {
+fn tombstone(host: u8) -> Gone {
   Gone {
     address: upstream(host),
     age_ms: 20_000,
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_balancer_that_has_just_started_asks_its_peers_what_left_before_it_resets() {
+fn a_starting_balancer_requests_history_before_it_resets_a_flow() {
   let mut balancer = balancer();
   assert_eq!(
     told(&mut balancer, 2),
@@ -41,25 +42,25 @@
     led: vec![],
     part: 0,
     parts: 1,
-    past: vec![gone(13)],
+    past: vec![tombstone(13)],
   };
   balancer.frame(2, &past, &[]);
-  // What was asked again names the one that left.
-  let mut again = Vec::new();
+  // The repeated queries include the removed target.
+  let mut repeated = Vec::new();
   for _ in 0..4 {
-    again.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
   }
-  assert!(again.contains(&13), "{again:?}");
+  assert!(repeated.contains(&13), "{repeated:?}");
   let sent = balancer.frame(13, &absent(4), &[]);
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
 }
 
 #[test]
-fn a_balancer_whose_peers_started_with_it_resets_once_all_have_said_so() {
+fn a_flow_is_reset_once_all_peers_report_an_unknown_history() {
   let mut balancer = balancer();
   told(&mut balancer, 2);
   told(&mut balancer, 3);
-  let nothing = Frame::Past {
+  let empty_history = Frame::Past {
     known: false,
     led: vec![],
     part: 0,
@@ -67,16 +68,16 @@
     past: vec![],
   };
   search(&mut balancer);
-  balancer.frame(2, &nothing, &[]);
+  balancer.frame(2, &empty_history, &[]);
   balancer.frame(11, &absent(4), &[]);
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  let sent = balancer.frame(3, &nothing, &[]);
+  let sent = balancer.frame(3, &empty_history, &[]);
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
 }
 
 #[test]
-fn a_balancer_tells_what_left_the_list() {
+fn a_balancer_sends_its_tombstones_on_request() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
   let sent = balancer.frame(2, &Frame::AskPast, &[]);
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_target_that_left_before_this_process_started_is_asked_too() {
+fn a_removed_target_reported_by_an_agent_is_queried() {
   let mut balancer = balancer();
   search(&mut balancer);
   let absent = Frame::Absent {
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn an_agent_that_tells_of_itself_and_that_nobody_names_is_asked_before_a_reset() {
+fn an_unlisted_agent_may_own_a_flow_that_others_deny() {
   let mut balancer = balancer();
   tell(&mut balancer, 13, 1, Load::default());
   let mut asked = search(&mut balancer);
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -1,4 +1,5 @@
-//! A balancer finds flows that it does not know, and resets only what is proved to be nowhere.
+//! Searches for unknown flows: a flow must be found wherever it is open, and be reset only if it is
+//! proved to be lost.
 
 use {
   crate::{
@@ -18,10 +19,10 @@
 };
 
 #[test]
-fn an_unknown_flow_is_asked_for_at_all_its_targets() {
+fn all_targets_are_queried_about_an_unknown_flow() {
   let mut balancer = balancer();
   assert_eq!(search(&mut balancer), [11, 12]);
-  // What came meanwhile waits for the answer.
+  // Packets are buffered during the search.
   balancer.packet(Packet::data(flow(1, 1), 3, 100));
   let sent = balancer.frame(12, &found(flow(1, 1)), &[]);
   assert_eq!(carried(&sent), [(12, Purpose::Deliver); 2]);
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn one_question_names_all_flows_that_are_searched_for() {
+fn one_query_covers_the_flows_of_all_searches() {
   let mut balancer = balancer();
   for port in 1..=100 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn questions_leave_at_a_bounded_rate() {
+fn queries_are_sent_at_a_bounded_rate() {
   let mut balancer = balancer();
   let (mut datagrams, mut flows) = (0, 0);
   for port in 1..=2000 {
@@ -56,13 +57,13 @@
       }
     }
   }
-  // 0.1 s; each of both targets is asked for all flows.
+  // In 0.1 s; each of both targets is queried about all flows.
   assert!(datagrams <= 270, "{datagrams} datagrams");
   assert!(flows > 3900, "{flows} flows");
 }
 
 #[test]
-fn an_agent_that_cannot_say_is_given_the_smallest_packet_to_try() {
+fn an_unsure_agent_is_sent_the_smallest_packet_as_a_test() {
   let mut balancer = balancer();
   let small = Packet::data(flow(1, 1), 2, 100);
   let large = Packet {
@@ -78,9 +79,9 @@
     [Sent::Frame(to, Frame::Carry { purpose: Purpose::Test, .. }, packet)]
       if *to == peer(11) && *packet == small.write()
   );
-  // It is not given another one while it tries.
+  // The agent is not sent another test before it has answered.
   assert_eq!(balancer.frame(11, &unsure, &[]), []);
-  // It has the flow, and that packet: only the other one is delivered.
+  // The agent has received the test packet, so that only the other one is delivered.
   let sent = balancer.frame(11, &found(flow(1, 1)), &[]);
   assert_matches!(
     &sent[..],
@@ -89,11 +90,10 @@
   );
 }
 
-/// Which hosts were given a packet to try.
-/// Who is given a packet to try, by the balancer or through another agent.
-fn tried(sent: &[Sent]) -> Vec<u8> {
+/// The hosts that were sent a test, directly or through another agent.
+fn tested(sent: &[Sent]) -> Vec<u8> {
   let host = |agent: &SocketAddrV4| agent.ip().octets()[3];
-  let tried = sent.iter().flat_map(|sent| match sent {
+  let tested = sent.iter().flat_map(|sent| match sent {
     Sent::Frame(
       to,
       Frame::Carry {
@@ -107,10 +107,10 @@
     }
     _ => vec![],
   });
-  tried.collect()
+  tested.collect()
 }
 
-/// A balancer that searches for a flow of a service with targets at the hosts 11 to 15.
+/// A balancer that searches for a flow of a service with targets on the hosts 11 to 15.
 fn searching_five() -> Balancer {
   let mut balancer = balancer();
   let more = [13_u8, 14, 15].map(|host| {
@@ -123,38 +123,38 @@
 }
 
 #[test]
-fn one_packet_is_tried_while_an_agent_is_silent_that_may_have_the_flow() {
+fn one_agent_is_tested_while_others_have_not_answered() {
   let mut balancer = searching_five();
   let unsure = unsure(flow(1, 1));
   let mut all = Vec::new();
   for host in [11, 12, 13] {
-    all.extend(tried(&balancer.frame(host, &unsure, &[])));
-    all.extend(tried(&balancer.frame(host, &absent(7), &[])));
-    all.extend(tried(&balancer.frame(host, &unsure, &[])));
+    all.extend(tested(&balancer.frame(host, &unsure, &[])));
+    all.extend(tested(&balancer.frame(host, &absent(7), &[])));
+    all.extend(tested(&balancer.frame(host, &unsure, &[])));
   }
   assert_eq!(all, [11]);
-  // Nor is another one by a search that the next packet of the flow begins.
+  // A later search for the same flow does not test it again.
   for _ in 0..30 {
-    all.extend(tried(&balancer.pass(Duration::from_millis(50))));
+    all.extend(tested(&balancer.pass(Duration::from_millis(50))));
   }
   search(&mut balancer);
-  all.extend(tried(&balancer.frame(12, &unsure, &[])));
+  all.extend(tested(&balancer.frame(12, &unsure, &[])));
   assert_eq!(all, [11]);
 }
 
 #[test]
-fn all_that_cannot_say_try_once_nobody_is_silent() {
+fn all_unsure_agents_are_tested_once_the_others_have_answered() {
   let mut balancer = searching_five();
   let unsure = unsure(flow(1, 1));
-  assert_eq!(tried(&balancer.frame(11, &unsure, &[])), [11]);
-  assert!(tried(&balancer.frame(12, &unsure, &[])).is_empty());
-  assert!(tried(&balancer.frame(13, &unsure, &[])).is_empty());
-  assert!(tried(&balancer.frame(14, &absent(7), &[])).is_empty());
-  assert_eq!(tried(&balancer.frame(15, &absent(7), &[])), [12, 13]);
+  assert_eq!(tested(&balancer.frame(11, &unsure, &[])), [11]);
+  assert!(tested(&balancer.frame(12, &unsure, &[])).is_empty());
+  assert!(tested(&balancer.frame(13, &unsure, &[])).is_empty());
+  assert!(tested(&balancer.frame(14, &absent(7), &[])).is_empty());
+  assert_eq!(tested(&balancer.frame(15, &absent(7), &[])), [12, 13]);
 }
 
 #[test]
-fn a_packet_for_many_agents_crosses_the_link_once_for_some_dozens() {
+fn a_test_for_many_agents_crosses_the_link_once() {
   let mut balancer = balancer();
   let hosts = 30..90_u8;
   let more = hosts.clone().map(|host| {
@@ -164,28 +164,28 @@
   balancer.platform(news(Some(4), 100, &more.collect::<Vec<_>>()));
   search(&mut balancer);
   let unsure = unsure(flow(1, 1));
-  let mut fans = Vec::new();
+  let mut fan_outs = Vec::new();
   for host in [11, 12].into_iter().chain(hosts) {
-    fans.extend(balancer.frame(host, &unsure, &[]));
+    fan_outs.extend(balancer.frame(host, &unsure, &[]));
   }
-  fans.retain(|sent| matches!(sent, Sent::Frame(_, Frame::Fan { .. }, _)));
-  // One was tried alone while the others were silent.
-  assert_eq!(tried(&fans).len(), 61);
-  assert_eq!(fans.len(), 1);
+  fan_outs.retain(|sent| matches!(sent, Sent::Frame(_, Frame::Fan { .. }, _)));
+  // One agent was tested alone before the others had answered.
+  assert_eq!(tested(&fan_outs).len(), 61);
+  assert_eq!(fan_outs.len(), 1);
 }
 
 #[test]
-fn targets_of_the_own_data_centre_are_asked_first() {
+fn local_targets_are_queried_first() {
   let mut balancer = balancer();
-  let far = [
+  let remote = [
     elsewhere(5, "up-13", 13, "a"),
     elsewhere(6, "up-14", 14, "a"),
   ];
-  balancer.platform(news(Some(4), 6, &far));
+  balancer.platform(news(Some(4), 6, &remote));
   assert_eq!(search(&mut balancer), [11, 12]);
   balancer.frame(11, &absent(6), &[]);
   assert!(asked(&balancer.pass(Duration::ZERO)).is_empty());
-  // All of them have said no.
+  // All local targets have denied the flow.
   balancer.frame(12, &absent(6), &[]);
   assert_eq!(asked(&balancer.pass(Duration::from_millis(1))), [13, 14]);
   balancer.frame(13, &absent(6), &[]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn silence_in_the_own_data_centre_delays_a_search_by_little() {
+fn remote_targets_are_queried_soon_if_local_ones_do_not_answer() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
   assert_eq!(search(&mut balancer), [11, 12]);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn an_agent_that_has_started_again_is_asked_at_once() {
+fn a_restarted_agent_is_queried_at_once() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
@@ -212,21 +212,21 @@
 }
 
 #[test]
-fn only_the_silent_are_asked_again_and_not_for_long() {
+fn only_unanswered_queries_are_repeated_a_few_times() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
-  let mut again = Vec::new();
+  let mut repeated = Vec::new();
   for _ in 0..100 {
-    again.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
   }
-  assert_eq!(again, [12; 3]);
-  // The next packet of the flow asks anew.
+  assert_eq!(repeated, [12; 3]);
+  // The next packet of the flow starts a new search.
   assert_eq!(search(&mut balancer), [11, 12]);
 }
 
 #[test]
-fn a_flow_is_reset_once_all_its_targets_have_said_no() {
+fn a_flow_is_reset_once_all_its_targets_have_denied_it() {
   let mut balancer = balancer();
   search(&mut balancer);
   let sent = balancer.frame(11, &absent(4), &[]);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn silence_is_no_proof() {
+fn a_missing_answer_does_not_prove_a_flow_lost() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn silence_of_a_target_that_left_the_list_is() {
+fn a_missing_answer_of_a_removed_target_counts_as_denial() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
   balancer.pass(Duration::from_secs(3));
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_target_that_left_the_list_but_speaks_is_asked() {
+fn a_removed_target_that_is_alive_must_answer() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
   balancer.pass(Duration::from_secs(3));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_packet_that_came_back_is_searched_for_elsewhere() {
+fn a_returned_packet_starts_a_search_elsewhere() {
   let mut balancer = balancer();
   balancer.frame(11, &found(flow(1, 1)), &[]);
   let packet = Packet::data(flow(1, 1), 2, 100);
@@ -279,19 +279,19 @@
 }
 
 #[test]
-fn no_of_agents_that_know_a_longer_list_is_no_proof() {
+fn denials_by_agents_with_a_newer_target_list_do_not_prove_a_flow_lost() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(9), &[]);
   let sent = balancer.frame(12, &absent(9), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  // It asks for what it has missed.
+  // The balancer pulls the update that it lacks.
   let wanted = balancer.machine.spread().take_wanted();
   assert_eq!(wanted, Some((peer(11), Revision(4))));
 }
 
 #[test]
-fn nobody_to_be_asked_is_no_proof() {
+fn a_flow_without_known_targets_is_not_reset() {
   let mut balancer = Stepped::balancer(1, None);
   balancer.platform(news(None, 1, &[configured(1, 1, &[(1, "a")])]));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_target_that_is_listed_during_a_search_is_asked_before_its_end() {
+fn a_target_listed_during_a_search_must_answer() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_search_copies_no_packet_and_holds_a_bounded_number() {
+fn a_search_buffers_a_bounded_number_of_packets() {
   let mut balancer = balancer();
   for _ in 0..10_000 {
     assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn all_searches_together_hold_a_bounded_number_of_bytes() {
+fn all_searches_buffer_a_bounded_number_of_bytes() {
   let mut balancer = balancer();
   let packet = Packet::data(flow(20_000, 1), 2, 100).write();
   let flows = 2 * (4 << 20) / (16 * packet.len());
@@ -343,14 +343,14 @@
 }
 
 #[test]
-fn the_smallest_packet_that_has_come_by_then_is_tried() {
+fn the_test_packet_is_the_smallest_received_so_far() {
   let mut balancer = balancer();
   let (large, small) = (
     Packet::data(flow(1, 1), 1 << 30, 100),
     Packet::data(flow(1, 1), 3, 100),
   );
   balancer.packet(large);
-  // All are asked; nobody has said that it cannot say.
+  // All are queried, and none has answered that it is unsure.
   balancer.pass(Duration::from_millis(60));
   balancer.packet(small);
   let sent = balancer.frame(12, &unsure(flow(1, 1)), &[]);
--- a/tests/datagram/sharing.rs
+++ b/tests/datagram/sharing.rs
@@ -1,4 +1,4 @@
-//! New flows are shared by targets that are alike, whatever all balancers hear of them.
+//! Distribution of new flows over equivalent targets, although all balancers see the same loads.
 
 use {
   crate::{
@@ -10,7 +10,7 @@
   std::{collections::BTreeMap, ops::Range},
 };
 
-/// The load of a target that has answered so far, in milliseconds a request.
+/// A load with a measured service time and no requests.
 fn measured(service_ms: u16) -> Load {
   Load {
     service_ms,
@@ -18,8 +18,8 @@
   }
 }
 
-/// A balancer before targets of service `a` that tell of these loads.
-fn before(hosts: Range<u8>, load: impl Fn(u8) -> Load) -> Balancer {
+/// A balancer with targets of service `a` on these hosts that report these loads.
+fn balancer_with_targets(hosts: Range<u8>, load: impl Fn(u8) -> Load) -> Balancer {
   let mut balancer = Stepped::balancer(1, None);
   let listed = hosts.clone().map(|host| {
     let id = format!("up-{host}");
@@ -33,9 +33,9 @@
   balancer
 }
 
-/// How many of so many flows, one after another, go to each target; each tells the same load again
-/// once its flow is over.
-fn shares(
+/// Opens one flow for each port and adds to the number of flows that each host gets. After each
+/// flow its host reports the same load again.
+fn count_shares(
   balancer: &mut Balancer,
   ports: Range<u16>,
   load: impl Fn(u8) -> Load,
@@ -51,13 +51,13 @@
 
 #[test]
 fn a_fleet_of_balancers_spreads_light_load_over_all_targets() {
-  // Each hears the same of 180 targets whose times differ as chance makes them.
+  // All balancers see the same 180 targets, whose service times vary randomly.
   let load = |host: u8| measured(38 + u16::from(host) % 5);
   let mut all = BTreeMap::new();
   for number in 0..60_u16 {
-    let mut balancer = before(20..200, load);
+    let mut balancer = balancer_with_targets(20..200, load);
     let first = 1024 + number * 300;
-    shares(&mut balancer, first..first + 300, load, &mut all);
+    count_shares(&mut balancer, first..first + 300, load, &mut all);
   }
   let mean = 60 * 300 / 180;
   let busiest = all.values().max().copied().unwrap_or_default();
@@ -66,18 +66,18 @@
 }
 
 #[test]
-fn a_target_that_nobody_has_measured_gets_its_share() {
-  // Those that were measured take less than what is assumed of one that was not.
+fn a_target_without_a_measured_time_gets_its_share() {
+  // The measured times are shorter than the default for a target without one.
   let load = |host: u8| if host < 24 { measured(15) } else { measured(0) };
-  let mut balancer = before(20..25, load);
+  let mut balancer = balancer_with_targets(20..25, load);
   let mut all = BTreeMap::new();
-  shares(&mut balancer, 2000..2500, load, &mut all);
+  count_shares(&mut balancer, 2000..2500, load, &mut all);
   let unmeasured = all.get(&24).copied().unwrap_or_default();
   assert!((50..=200).contains(&unmeasured), "{all:?}");
 }
 
 #[test]
-fn a_target_that_is_slower_or_busier_than_alike_is_passed_over() {
+fn a_slower_or_busier_target_gets_no_flows() {
   let load = |host: u8| match host {
     20 => measured(60),
     21 => Load {
@@ -86,8 +86,8 @@
     },
     _ => measured(40),
   };
-  let mut balancer = before(20..30, load);
+  let mut balancer = balancer_with_targets(20..30, load);
   let mut all = BTreeMap::new();
-  shares(&mut balancer, 2000..2300, load, &mut all);
+  count_shares(&mut balancer, 2000..2300, load, &mut all);
   assert!(!all.contains_key(&20) && !all.contains_key(&21), "{all:?}");
 }
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -1,4 +1,4 @@
-//! New flows wait in a balancer until a target can take them.
+//! The admission queue: new flows wait in a balancer until a target can take them.
 
 use {
   crate::{
@@ -17,24 +17,24 @@
   std::time::Duration,
 };
 
-/// Both targets have so much to do that a new flow waits too long.
-fn full(balancer: &mut Balancer) {
+/// Makes both targets so busy that a new flow would wait too long.
+fn saturate(balancer: &mut Balancer) {
   tell(balancer, 11, 1, busy(24));
   tell(balancer, 12, 1, busy(24));
 }
 
-/// Sends the opening packet of a flow; nobody gets it at once.
+/// Feeds the opening packet of a flow, which must be queued.
 fn park_at(balancer: &mut Balancer, flow: Flow) {
   assert_eq!(balancer.packet(Packet::open(flow, 0)), []);
 }
 
-/// Sends the opening packet of the flow `flow(port, 1)`; nobody gets it.
-fn park(balancer: &mut Balancer, port: u16, copy: u32) {
-  assert_eq!(balancer.packet(Packet::open(flow(port, 1), copy)), []);
+/// Feeds a transmission of the opening packet of `flow(port, 1)`, which must be queued.
+fn park(balancer: &mut Balancer, port: u16, attempt: u32) {
+  assert_eq!(balancer.packet(Packet::open(flow(port, 1), attempt)), []);
 }
 
-/// The flows that were sent to targets, in order.
-fn opened(sent: &[Sent]) -> Vec<Flow> {
+/// The flows whose opening packets were sent to targets, in order.
+fn opened_flows(sent: &[Sent]) -> Vec<Flow> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(
       _,
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn what_would_wait_too_long_everywhere_waits_for_a_free_target() {
+fn a_flow_is_queued_if_all_targets_are_too_busy() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
   assert_eq!(but_backlog(balancer.pass(Duration::from_millis(300))), []);
   tell(&mut balancer, 12, 1, busy(1));
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn a_free_target_elsewhere_is_better_than_waiting_too_long() {
+fn a_free_remote_target_is_preferred_to_a_long_wait() {
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
-  // Crossing costs a request of so many bytes more than any wait here.
+  // For requests of this size, a remote target costs more than any wait in this test.
   let large = |work| Load {
     bytes: 60_000,
     work,
@@ -76,13 +76,13 @@
   tell(&mut balancer, 13, 1, large(0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
-  full(&mut balancer);
+  saturate(&mut balancer);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
 }
 
 #[test]
-fn a_flow_that_all_targets_refuse_waits_for_a_free_one() {
+fn a_flow_that_all_targets_refuse_is_queued() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
@@ -97,9 +97,9 @@
 }
 
 #[test]
-fn the_newest_flow_that_waits_goes_first() {
+fn the_newest_queued_flow_is_sent_first() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   for port in 1..=3 {
     park(&mut balancer, port, 0);
     balancer.pass(Duration::from_millis(10));
@@ -107,23 +107,23 @@
   tell(&mut balancer, 12, 1, busy(0));
   let sent = balancer.pass(Duration::from_millis(10));
   let newest_first = [flow(3, 1), flow(2, 1), flow(1, 1)];
-  assert_eq!(opened(&sent), newest_first);
+  assert_eq!(opened_flows(&sent), newest_first);
 }
 
 #[test]
-fn routes_of_a_higher_priority_go_first() {
+fn queued_flows_of_a_higher_priority_are_sent_first() {
   let mut balancer = balancer();
   let routes = [(1, "a"), (2, "b"), (3, "a")];
   balancer.platform(news(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
-  full(&mut balancer);
+  saturate(&mut balancer);
   assert_eq!(balancer.packet(Packet::open(flow(1, 3), 0)), []);
   balancer.pass(Duration::from_millis(10));
   park(&mut balancer, 2, 0);
-  // As long as one of them waits, no other is placed either.
+  // A new flow is not placed while others are queued.
   tell(&mut balancer, 12, 1, busy(0));
   park(&mut balancer, 3, 0);
   let sent = balancer.pass(Duration::from_millis(10));
-  assert_eq!(opened(&sent), [flow(1, 3), flow(3, 1), flow(2, 1)]);
+  assert_eq!(opened_flows(&sent), [flow(1, 3), flow(3, 1), flow(2, 1)]);
 }
 
 #[test]
@@ -131,42 +131,42 @@
   let mut balancer = balancer();
   let routes = [(1, "a"), (2, "b"), (3, "a")];
   balancer.platform(news(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
-  // 4 slots and 40 ms: a request more is answered after 130 ms, of 200.
+  // With 4 slots and 40 ms, another request is answered after 130 ms of the 200 ms allowed.
   tell(&mut balancer, 11, 1, busy(12));
   tell(&mut balancer, 12, 1, busy(12));
   park(&mut balancer, 1, 0);
   park_at(&mut balancer, flow(2, 3));
   assert_eq!(
-    opened(&balancer.pass(Duration::from_millis(5))),
+    opened_flows(&balancer.pass(Duration::from_millis(5))),
     [flow(2, 3)]
   );
 }
 
 #[test]
-fn what_cannot_be_served_in_time_by_all_targets_together_is_told_at_once() {
+fn flows_beyond_the_queue_capacity_are_reset_at_once() {
   let mut balancer = balancer();
-  full(&mut balancer);
-  let mut told = 0;
+  saturate(&mut balancer);
+  let mut resets = 0;
   for port in 1..=360 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert_eq!(carried(&sent), []);
-    told += usize::from(is_reset(&sent, flow(port, 1), 0));
+    resets += usize::from(is_reset(&sent, flow(port, 1), 0));
   }
-  // 8 slots answer 200 requests of 40 ms a second: what takes them as long as callers wait, 1.4 s,
-  // may wait.
-  assert_eq!(told, 80);
+  // 8 slots answer 200 requests of 40 ms per second; as many as they answer in the 1.4 s that
+  // callers wait are queued.
+  assert_eq!(resets, 80);
 }
 
 #[test]
-fn a_flow_that_waited_too_long_is_told() {
+fn a_flow_that_is_queued_too_long_is_reset() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(200));
   park(&mut balancer, 1, 1);
   balancer.pass(Duration::from_millis(400));
   park(&mut balancer, 1, 2);
-  // An answer takes 20 ms to its caller, who gives the flow up after 1.4 s.
+  // The caller gives up after 1.4 s, and an answer takes 20 ms to reach it.
   let sent = balancer.pass(Duration::from_millis(770));
   assert!(!is_reset(&sent, flow(1, 1), 0), "{sent:?}");
   let sent = balancer.pass(Duration::from_millis(10));
@@ -174,23 +174,23 @@
 }
 
 #[test]
-fn a_flow_that_waited_is_not_reset_where_another_balancer_may_have_opened_it() {
-  for copies in [vec![0], vec![0, 1], vec![0, 2], vec![1, 2]] {
+fn a_queued_flow_that_another_balancer_may_have_opened_is_not_reset() {
+  for attempts in [vec![0], vec![0, 1], vec![0, 2], vec![1, 2]] {
     let mut balancer = balancer();
-    full(&mut balancer);
-    for copy in &copies {
-      park(&mut balancer, 1, *copy);
+    saturate(&mut balancer);
+    for attempt in &attempts {
+      park(&mut balancer, 1, *attempt);
     }
     for _ in 0..40 {
       let sent = balancer.pass(Duration::from_millis(50));
-      assert!(!is_reset(&sent, flow(1, 1), 0), "copies {copies:?}");
+      assert!(!is_reset(&sent, flow(1, 1), 0), "attempts {attempts:?}");
     }
   }
 }
 
-/// Fills the balancer with flows that wait, so that one more is told at once.
-fn fill(balancer: &mut Balancer) {
-  full(balancer);
+/// Fills the queue and checks that a further flow is reset at once.
+fn fill_queue(balancer: &mut Balancer) {
+  saturate(balancer);
   for port in 1001..=1280 {
     park(balancer, port, 0);
   }
@@ -199,20 +199,20 @@
 }
 
 #[test]
-fn a_balancer_that_stood_still_resets_no_flow_that_another_may_have_opened() {
+fn after_a_stall_a_flow_that_another_balancer_may_have_opened_is_not_reset() {
   let mut balancer = balancer();
   balancer.pass(Duration::ZERO);
-  fill(&mut balancer);
-  // Packets of before are still there to be read when it goes on.
+  fill_queue(&mut balancer);
+  // Packets that were received before the stall are read after it.
   balancer.now += Duration::from_millis(800);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert!(!is_reset(&sent, flow(2, 1), 0), "{sent:?}");
 }
 
 #[test]
-fn a_balancer_that_has_just_started_tells_at_once() {
+fn a_slow_start_is_not_a_stall() {
   let mut balancer = Stepped::balancer(1, None);
-  // What a start takes is no standstill.
+  // The time that a start takes is not a stall.
   balancer.now += Duration::from_millis(400);
   let live = Presence::Live;
   let records = [
@@ -221,91 +221,91 @@
     listed(3, "up-12", 12, "a", live),
   ];
   balancer.platform(news(None, 3, &records));
-  fill(&mut balancer);
+  fill_queue(&mut balancer);
 }
 
 #[test]
-fn a_balancer_that_searched_and_kept_flows_waiting_tells_at_once() {
+fn an_idle_time_is_not_a_stall() {
   let mut balancer = balancer();
   for _ in 0..20 {
     balancer.pass(Duration::from_millis(100));
   }
-  // What had nothing to do for long is not late with what it is given now.
+  // Timers of work that comes after an idle time are not late.
   search(&mut balancer);
-  fill(&mut balancer);
+  fill_queue(&mut balancer);
 }
 
 #[test]
-fn a_flow_that_was_refused_late_is_not_reset_where_another_balancer_may_have_opened_it() {
+fn a_flow_refused_late_that_another_balancer_may_have_opened_is_not_reset() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   let (first, _) = carried(&sent)[0];
-  fill(&mut balancer);
+  fill_queue(&mut balancer);
   let refused = Frame::Refused(flow(2, 1), Refusal::Busy, busy(24));
-  // The answer takes so long that the next copy may have been sent meanwhile.
+  // The refusal comes so late that the caller may have retransmitted to another balancer.
   balancer.now += Duration::from_millis(170);
   let sent = balancer.frame(first, &refused, &[]);
   assert!(!is_reset(&sent, flow(2, 1), 0), "{sent:?}");
 }
 
 #[test]
-fn a_flow_that_waits_and_was_opened_elsewhere_is_searched_for() {
+fn a_queued_flow_that_another_balancer_opened_is_searched_for() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 1);
   assert_eq!(search(&mut balancer), [11, 12]);
 }
 
 #[test]
-fn a_flow_that_waits_is_not_opened_on_a_route_dropped_meanwhile() {
+fn a_queued_flow_is_not_opened_after_its_route_is_removed() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
   balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   tell(&mut balancer, 12, 1, busy(0));
   assert_eq!(carried(&balancer.pass(Duration::from_millis(10))), []);
 }
 
-/// A place is granted where so many requests are; which flow takes it.
+/// Feeds a grant from host 12, which has `work` requests. Returns the flow that uses it.
 fn grant(balancer: &mut Balancer, work: u16) -> Vec<Flow> {
-  opened(&balancer.frame(12, &Frame::Grant(busy(work)), &[]))
+  opened_flows(&balancer.frame(12, &Frame::Grant(busy(work)), &[]))
 }
 
 #[test]
-fn a_new_flow_waits_for_a_granted_place_where_others_wait() {
+fn a_new_flow_waits_for_a_grant_while_others_are_queued() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
-  // Nobody has granted it: this word may be older than a request takes.
+  // A status grants no slot: it may be out of date.
   tell(&mut balancer, 12, 1, busy(3));
   park(&mut balancer, 2, 0);
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
 }
 
 #[test]
-fn a_flow_that_is_answered_in_time_goes_before_older_ones() {
+fn a_grant_goes_to_the_newest_flow_that_is_answered_in_time() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   for port in 1..=3 {
     park(&mut balancer, port, 0);
     balancer.pass(Duration::from_millis(80));
   }
-  // 40 ms of 200 are left for the newest, and of the others none are in time.
+  // Only the newest flow can still be answered within 200 ms.
   assert_eq!(grant(&mut balancer, 3), [flow(3, 1)]);
   balancer.frame(12, &Frame::Opened(flow(3, 1), busy(24)), &[]);
-  // All are late: the first goes first.
+  // All are late, so that the oldest is sent first.
   balancer.pass(Duration::from_millis(100));
   assert_eq!(grant(&mut balancer, 3), [flow(1, 1)]);
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
 }
 
 #[test]
-fn the_copies_tell_how_long_a_caller_has_waited() {
+fn the_age_of_a_flow_follows_from_the_number_of_its_transmission() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(100));
-  // The first of its copies that came here is the second, 200 ms after the one before.
+  // The first transmission that comes here is the second, sent 200 ms after the first.
   park(&mut balancer, 2, 1);
   balancer.pass(Duration::from_millis(200));
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
@@ -313,22 +313,23 @@
 }
 
 #[test]
-fn callers_who_may_have_gone_are_served_last() {
+fn flows_of_callers_that_may_have_given_up_are_sent_last() {
   let mut balancer = balancer();
-  full(&mut balancer);
+  saturate(&mut balancer);
   park(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(600));
   park(&mut balancer, 2, 0);
-  // The last copy of the first caller was due 0.6 s after its first, and the next sign 0.2 s later.
+  // The first caller's last retransmission was due after 0.6 s, and 0.2 s later it may have given
+  // up.
   balancer.pass(Duration::from_millis(300));
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
   assert_eq!(grant(&mut balancer, 3), [flow(1, 1)]);
 }
 
 #[test]
-fn a_flow_opened_elsewhere_takes_no_room() {
+fn a_flow_that_a_target_opened_late_leaves_the_queue() {
   let mut balancer = balancer();
-  fill(&mut balancer);
+  fill_queue(&mut balancer);
   balancer.frame(11, &Frame::Opened(flow(1001, 1), busy(24)), &[]);
   park(&mut balancer, 1, 0);
 }
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -1,5 +1,5 @@
-//! Routes that lead to several services by weight: where new flows go, and that a flow is found at the
-//! service that took it, whatever its address leads to by now.
+//! Routes with several weighted services: distribution of new flows, and searches that find a flow
+//! at the service that accepted it, however its address was routed since.
 
 use {
   crate::{
@@ -21,7 +21,7 @@
   std::{collections::BTreeMap, net::SocketAddrV4, time::Duration},
 };
 
-/// As many flows as the bounds of these tests are reckoned for.
+/// The number of flows that are distributed.
 const FLOWS: u32 = 100_000;
 
 fn flows() -> impl Iterator<Item = Flow> {
@@ -45,8 +45,8 @@
   owners
 }
 
-/// Five standard deviations of how many of the flows a share of them takes.
-fn bound(share: f64) -> f64 {
+/// Five standard deviations of the number of flows that get a share of the whole.
+fn tolerance(share: f64) -> f64 {
   5.0 * (f64::from(FLOWS) * share * (1.0 - share)).sqrt()
 }
 
@@ -63,26 +63,26 @@
     for (service, weight) in shares {
       let share = f64::from(weight) / all;
       let count = f64::from(owners.get(service).copied().unwrap_or_default());
-      let off = (count - share * f64::from(FLOWS)).abs();
-      assert!(off < bound(share), "{service}: {owners:?}");
+      let deviation = (count - share * f64::from(FLOWS)).abs();
+      assert!(deviation < tolerance(share), "{service}: {owners:?}");
     }
   }
 }
 
 #[test]
-fn a_change_of_weights_moves_no_more_flows_than_it_has_to() {
+fn a_change_of_weights_moves_the_fewest_flows_possible() {
   let before = backends(&[("a", 90), ("b", 10)]);
   let after = backends(&[("a", 80), ("b", 20)]);
   let b = "b".parse::<Service>().expect("a name");
   let moved = flows().filter(|flow| owner(&before, flow) != owner(&after, flow));
   let moved = moved.collect::<Vec<_>>();
   assert!(moved.iter().all(|flow| owner(&after, flow) == b));
-  let off = (moved.len() as f64 - 0.1 * f64::from(FLOWS)).abs();
-  assert!(off < bound(0.1), "{}", moved.len());
+  let deviation = (moved.len() as f64 - 0.1 * f64::from(FLOWS)).abs();
+  assert!(deviation < tolerance(0.1), "{}", moved.len());
 }
 
 #[test]
-fn a_service_that_joins_takes_flows_and_the_others_exchange_none() {
+fn an_added_service_takes_flows_and_the_others_exchange_none() {
   let before = backends(&[("a", 3), ("b", 1)]);
   let after = backends(&[("a", 3), ("b", 1), ("c", 1)]);
   let c = "c".parse::<Service>().expect("a name");
@@ -99,21 +99,21 @@
   );
 }
 
-/// Route 1 leads to both services by these weights, as of a revision and version.
-fn split(revision: u64, version: u64, a: u32, b: u32) -> Record {
+/// A configuration that routes address 1 to both services by these weights.
+fn split_record(revision: u64, version: u64, a: u32, b: u32) -> Record {
   let both = vec![("a", a), ("b", b)];
   configured_weighted(revision, version, &[(1, both), (2, vec![("b", 1)])])
 }
 
-/// A balancer before two targets of service `a` and one of `b`; route 1 leads to both.
-fn splitting(a: u32, b: u32) -> Balancer {
+/// A balancer with two targets of service `a` and one of `b`, and a route to both.
+fn balancer_with_split(a: u32, b: u32) -> Balancer {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[split(5, 2, a, b)]));
+  balancer.platform(news(Some(4), 5, &[split_record(5, 2, a, b)]));
   balancer
 }
 
-/// The host that a new flow is placed at.
-fn placed(balancer: &mut Balancer, flow: Flow) -> u8 {
+/// Opens a flow. Returns the host that it is placed on.
+fn open_flow(balancer: &mut Balancer, flow: Flow) -> u8 {
   let sent = balancer.packet(Packet::open(flow, 0));
   let carried = carried(&sent);
   let [(host, Purpose::Open)] = carried[..] else {
@@ -124,8 +124,8 @@
 
 #[test]
 fn balancers_agree_on_the_service_of_a_flow() {
-  let (mut one, mut other) = (splitting(2, 1), splitting(2, 1));
-  // One of them has other flows, whose targets are not free.
+  let (mut one, mut other) = (balancer_with_split(2, 1), balancer_with_split(2, 1));
+  // The other balancer has pending flows, so that its targets seem busier.
   for port in 5000..5004 {
     other.packet(Packet::open(flow(port, 1), 0));
   }
@@ -136,37 +136,37 @@
       tell(&mut one, host, 1, Load::default());
       tell(&mut other, host, 1, Load::default());
     }
-    let hosts = (placed(&mut one, flow), placed(&mut other, flow));
+    let hosts = (open_flow(&mut one, flow), open_flow(&mut other, flow));
     assert_eq!(at_b(hosts.0), at_b(hosts.1), "{hosts:?}");
   }
 }
 
 #[test]
 fn flows_of_a_service_without_targets_go_to_the_others_of_the_set() {
-  let mut balancer = splitting(1, 99);
+  let mut balancer = balancer_with_split(1, 99);
   balancer.platform(news(Some(5), 6, &[unlisted(6, "up-21")]));
   balancer.pass(Duration::from_secs(3));
   for host in [11, 12] {
     tell(&mut balancer, host, 1, Load::default());
   }
   for port in 1..20 {
-    assert_ne!(placed(&mut balancer, flow(port, 1)), 21);
+    assert_ne!(open_flow(&mut balancer, flow(port, 1)), 21);
   }
 }
 
 #[test]
-fn the_caller_is_told_at_once_where_no_service_takes_new_flows() {
-  let mut balancer = splitting(0, 0);
+fn a_flow_is_reset_at_once_if_no_service_accepts_new_flows() {
+  let mut balancer = balancer_with_split(0, 0);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert!(is_reset(&sent, flow(1, 1), 0), "{sent:?}");
 }
 
 #[test]
-fn a_flow_goes_on_at_its_service_when_the_weights_change() {
-  let mut balancer = splitting(0, 1);
-  assert_eq!(placed(&mut balancer, flow(1, 1)), 21);
+fn an_open_flow_stays_at_its_service_when_weights_change() {
+  let mut balancer = balancer_with_split(0, 1);
+  assert_eq!(open_flow(&mut balancer, flow(1, 1)), 21);
   balancer.frame(21, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  balancer.platform(news(Some(5), 6, &[split(6, 3, 1, 0)]));
+  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_matches!(
     &sent[..],
@@ -176,16 +176,16 @@
 }
 
 #[test]
-fn a_new_flow_goes_where_the_newest_configuration_leads_though_one_of_its_name_was_open() {
-  let mut balancer = splitting(0, 1);
-  assert_eq!(placed(&mut balancer, flow(1, 1)), 21);
+fn a_reopened_flow_follows_the_newest_configuration() {
+  let mut balancer = balancer_with_split(0, 1);
+  assert_eq!(open_flow(&mut balancer, flow(1, 1)), 21);
   balancer.frame(21, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  balancer.platform(news(Some(5), 6, &[split(6, 3, 1, 0)]));
-  assert_ne!(placed(&mut balancer, flow(1, 1)), 21);
+  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  assert_ne!(open_flow(&mut balancer, flow(1, 1)), 21);
 }
 
-/// A balancer that never saw `flow(1, 1)` finds it at the target of service `b`.
-fn finds_at_b(balancer: &mut Balancer) {
+/// Checks that a balancer which does not know `flow(1, 1)` finds it at the target of service `b`.
+fn check_found_at_b(balancer: &mut Balancer) {
   let mut all = search(balancer);
   all.extend(asked(&balancer.pass(Duration::from_millis(50))));
   assert!(all.contains(&21), "{all:?}");
@@ -203,46 +203,46 @@
 
 #[test]
 fn a_flow_is_found_at_each_service_of_the_set() {
-  finds_at_b(&mut splitting(90, 10));
+  check_found_at_b(&mut balancer_with_split(90, 10));
 }
 
 #[test]
-fn a_flow_is_found_at_a_service_whose_weight_is_zero_by_now() {
-  let mut balancer = splitting(90, 10);
-  balancer.platform(news(Some(5), 6, &[split(6, 3, 1, 0)]));
-  finds_at_b(&mut balancer);
+fn a_flow_is_found_at_a_service_whose_weight_became_zero() {
+  let mut balancer = balancer_with_split(90, 10);
+  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  check_found_at_b(&mut balancer);
 }
 
 #[test]
 fn a_flow_is_found_at_a_service_that_its_route_no_longer_names() {
-  let mut balancer = splitting(90, 10);
+  let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
-  finds_at_b(&mut balancer);
+  check_found_at_b(&mut balancer);
 }
 
 #[test]
-fn a_flow_is_found_after_its_route_was_dropped_and_added_again() {
-  let mut balancer = splitting(90, 10);
+fn a_flow_is_found_after_its_route_was_removed_and_added_again() {
+  let mut balancer = balancer_with_split(90, 10);
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &[(2, "b")])]));
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(news(Some(6), 7, &[configured(7, 4, &routes)]));
-  finds_at_b(&mut balancer);
+  check_found_at_b(&mut balancer);
 }
 
 #[test]
-fn a_flow_is_found_after_its_route_led_to_one_service_another_and_a_set() {
-  let mut balancer = splitting(0, 1);
+fn a_flow_is_found_after_several_changes_of_its_route() {
+  let mut balancer = balancer_with_split(0, 1);
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
   let third = [(1, vec![("a", 1), ("c", 1)]), (2, vec![("b", 1)])];
   balancer.platform(news(Some(6), 7, &[configured_weighted(7, 4, &third)]));
-  finds_at_b(&mut balancer);
+  check_found_at_b(&mut balancer);
 }
 
 #[test]
-fn a_service_that_was_left_longer_ago_than_flows_live_is_not_asked() {
-  let mut balancer = splitting(90, 10);
+fn a_former_backend_is_not_queried_after_the_lifetime_of_flows() {
+  let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
   balancer.pass(Duration::from_secs(80));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_balancer_that_has_just_started_hears_from_its_peers_where_addresses_led() {
+fn a_starting_balancer_learns_former_backends_from_its_peers() {
   let mut balancer = balancer();
   told(&mut balancer, 2);
   search(&mut balancer);
@@ -276,18 +276,18 @@
   };
   let sent = balancer.frame(2, &past, &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  let mut again = Vec::new();
+  let mut repeated = Vec::new();
   for _ in 0..4 {
-    again.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
   }
-  assert!(again.contains(&21), "{again:?}");
+  assert!(repeated.contains(&21), "{repeated:?}");
   let sent = balancer.frame(21, &absent(4), &[]);
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
 }
 
 #[test]
-fn a_balancer_tells_where_addresses_led() {
-  let mut balancer = splitting(90, 10);
+fn a_balancer_sends_its_former_backends_on_request() {
+  let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
   let sent = balancer.frame(2, &Frame::AskPast, &[]);
@@ -299,8 +299,8 @@
 }
 
 #[test]
-fn targets_that_an_agent_names_are_of_its_own_service() {
-  let mut balancer = splitting(90, 10);
+fn tombstones_reported_by_an_agent_belong_to_its_service() {
+  let mut balancer = balancer_with_split(90, 10);
   search(&mut balancer);
   let known = fallwell::datagram::frame::Known {
     complete: Revision(4),
@@ -312,8 +312,8 @@
     lost: false,
   };
   balancer.frame(21, &absent, &[]);
-  balancer.platform(news(Some(5), 6, &[split(6, 3, 1, 0)]));
-  // The past of service `b` is not asked for flows of a route to `a` alone.
+  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  // The tombstone belongs to service `b` and is not queried about flows to `a`.
   let routes = [(1, "b"), (3, "a")];
   balancer.platform(news(Some(6), 7, &[configured(7, 4, &routes)]));
   balancer.packet(Packet::data(flow(1, 3), 2, 100));
@@ -331,17 +331,17 @@
 }
 
 #[test]
-fn an_agent_takes_no_new_flow_that_the_newest_configuration_leads_elsewhere() {
+fn an_agent_rejects_a_new_flow_that_is_routed_to_another_service() {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[split(3, 2, 0, 1)]));
+  agent.platform(news(Some(2), 3, &[split_record(3, 2, 0, 1)]));
   let packet = Packet::open(flow(1, 1), 0);
-  // The sender acts on an older version.
+  // The sender has an older configuration.
   let sent = agent.frame(1, &carry(Purpose::Open), &packet.write());
   assert!(!sent.contains(&Sent::Upstream(packet)), "{sent:?}");
 }
 
 #[test]
-fn an_agent_of_another_service_than_those_that_may_have_the_flows_says_no() {
+fn an_agent_of_another_service_denies_a_flow() {
   let mut agent = agent();
   let ask = Frame::Ask {
     complete: Revision(2),
@@ -357,8 +357,8 @@
 
 #[test]
 fn a_refused_flow_stays_with_its_service() {
-  let mut balancer = splitting(1, 0);
-  let first = placed(&mut balancer, flow(1, 1));
+  let mut balancer = balancer_with_split(1, 0);
+  let first = open_flow(&mut balancer, flow(1, 1));
   let busy = Load {
     service_ms: 40,
     work: 4,
