--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -57,7 +57,7 @@
 }
 
 /// Feeds the status of another balancer.
-pub fn told(balancer: &mut Balancer, host: u8) -> Vec<Sent> {
+pub fn feed_balancer_status(balancer: &mut Balancer, host: u8) -> Vec<Sent> {
   let status = Status {
     balancers: vec![],
     complete: Revision(4),
@@ -89,7 +89,7 @@
 }
 
 /// The hosts that were queried about `flow(1, 1)` alone.
-pub fn asked(sent: &[Sent]) -> Vec<u8> {
+pub fn queried(sent: &[Sent]) -> Vec<u8> {
   let frames = sent.iter().filter_map(|sent| match sent {
     Sent::Frame(to, Frame::Ask { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
       Some(to.ip().octets()[3])
@@ -103,7 +103,7 @@
 /// queries.
 pub fn search(balancer: &mut Balancer) -> Vec<u8> {
   assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
-  asked(&balancer.pass(Duration::ZERO))
+  queried(&balancer.pass(Duration::ZERO))
 }
 
 /// A denial of `flow(1, 1)` by an agent that knows the target list up to a revision.
@@ -127,7 +127,7 @@
 }
 
 /// The given output without the frames that announce the length of the queue.
-pub fn but_backlog(sent: Vec<Sent>) -> Vec<Sent> {
+pub fn without_backlog(sent: Vec<Sent>) -> Vec<Sent> {
   let sent = sent.into_iter();
   sent
     .filter(|sent| !matches!(sent, Sent::Frame(_, Frame::Backlog { .. }, _)))
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{absent, asked, balancer, carried, is_reset, search, tell, told},
+    balancing::{absent, balancer, carried, feed_balancer_status, is_reset, queried, search, tell},
     plain::Packet,
     support::{Sent, flow, found, news, peer, unlisted, upstream},
   },
@@ -30,7 +30,7 @@
 fn a_starting_balancer_requests_history_before_it_resets_a_flow() {
   let mut balancer = balancer();
   assert_eq!(
-    told(&mut balancer, 2),
+    feed_balancer_status(&mut balancer, 2),
     [Sent::Frame(peer(2), Frame::AskPast, vec![])]
   );
   search(&mut balancer);
@@ -48,7 +48,7 @@
   // The repeated queries include the removed target.
   let mut repeated = Vec::new();
   for _ in 0..4 {
-    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(queried(&balancer.pass(Duration::from_millis(50))));
   }
   assert!(repeated.contains(&13), "{repeated:?}");
   let sent = balancer.frame(13, &absent(4), &[]);
@@ -58,8 +58,8 @@
 #[test]
 fn a_flow_is_reset_once_all_peers_report_an_unknown_history() {
   let mut balancer = balancer();
-  told(&mut balancer, 2);
-  told(&mut balancer, 3);
+  feed_balancer_status(&mut balancer, 2);
+  feed_balancer_status(&mut balancer, 3);
   let empty_history = Frame::Past {
     known: false,
     led: vec![],
@@ -103,7 +103,7 @@
   balancer.frame(11, &absent, &[]);
   let sent = balancer.frame(12, &absent, &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  assert_eq!(asked(&balancer.pass(Duration::from_millis(1))), [13]);
+  assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [13]);
   let sent = balancer.frame(13, &absent, &[]);
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
 }
@@ -112,9 +112,9 @@
 fn an_unlisted_agent_may_own_a_flow_that_others_deny() {
   let mut balancer = balancer();
   tell(&mut balancer, 13, 1, Load::default());
-  let mut asked = search(&mut balancer);
-  asked.sort_unstable();
-  assert_eq!(asked, [11, 12]);
+  let mut queried = search(&mut balancer);
+  queried.sort_unstable();
+  assert_eq!(queried, [11, 12]);
   balancer.frame(11, &absent(4), &[]);
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, absent, asked, balancer, carried, is_reset, search, tell},
+    balancing::{Balancer, absent, balancer, carried, is_reset, queried, search, tell},
     plain::Packet,
     support::{
       Sent, Stepped, configured, elsewhere, flow, found, listed, news, peer, unlisted, unsure,
@@ -184,10 +184,10 @@
   balancer.platform(news(Some(4), 6, &remote));
   assert_eq!(search(&mut balancer), [11, 12]);
   balancer.frame(11, &absent(6), &[]);
-  assert!(asked(&balancer.pass(Duration::ZERO)).is_empty());
+  assert!(queried(&balancer.pass(Duration::ZERO)).is_empty());
   // All local targets have denied the flow.
   balancer.frame(12, &absent(6), &[]);
-  assert_eq!(asked(&balancer.pass(Duration::from_millis(1))), [13, 14]);
+  assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [13, 14]);
   balancer.frame(13, &absent(6), &[]);
   let sent = balancer.frame(14, &absent(6), &[]);
   assert!(is_reset(&sent, flow(1, 1), 100), "{sent:?}");
@@ -198,7 +198,7 @@
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
   assert_eq!(search(&mut balancer), [11, 12]);
-  assert_eq!(asked(&balancer.pass(Duration::from_millis(50))), [13]);
+  assert_eq!(queried(&balancer.pass(Duration::from_millis(50))), [13]);
 }
 
 #[test]
@@ -208,7 +208,7 @@
   balancer.frame(11, &absent(4), &[]);
   balancer.pass(Duration::from_millis(10));
   tell(&mut balancer, 12, 2, Load::default());
-  assert_eq!(asked(&balancer.pass(Duration::from_millis(1))), [12]);
+  assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [12]);
 }
 
 #[test]
@@ -218,7 +218,7 @@
   balancer.frame(11, &absent(4), &[]);
   let mut repeated = Vec::new();
   for _ in 0..100 {
-    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(queried(&balancer.pass(Duration::from_millis(50))));
   }
   assert_eq!(repeated, [12; 3]);
   // The next packet of the flow starts a new search.
@@ -275,7 +275,7 @@
   let packet = Packet::data(flow(1, 1), 2, 100);
   balancer.packet(packet);
   balancer.frame(11, &absent(4), &packet.write());
-  assert_eq!(asked(&balancer.pass(Duration::ZERO)), [12]);
+  assert_eq!(queried(&balancer.pass(Duration::ZERO)), [12]);
 }
 
 #[test]
@@ -307,7 +307,7 @@
   balancer.platform(news(Some(4), 5, &[listed]));
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  assert_eq!(asked(&balancer.pass(Duration::from_millis(1))), [13]);
+  assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [13]);
 }
 
 #[test]
@@ -316,7 +316,7 @@
   for _ in 0..10_000 {
     assert_eq!(balancer.packet(Packet::data(flow(1, 1), 2, 100)), []);
   }
-  assert_eq!(asked(&balancer.pass(Duration::ZERO)), [11, 12]);
+  assert_eq!(queried(&balancer.pass(Duration::ZERO)), [11, 12]);
   let sent = balancer.frame(12, &found(flow(1, 1)), &[]);
   assert_eq!(carried(&sent), [(12, Purpose::Deliver); 16]);
 }
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, busy, but_backlog, carried, is_reset, search, tell},
+    balancing::{Balancer, balancer, busy, carried, is_reset, search, tell, without_backlog},
     plain::Packet,
     support::{Sent, Stepped, configured, configured_first, elsewhere, flow, listed, news},
   },
@@ -54,7 +54,10 @@
   let mut balancer = balancer();
   saturate(&mut balancer);
   park(&mut balancer, 1, 0);
-  assert_eq!(but_backlog(balancer.pass(Duration::from_millis(300))), []);
+  assert_eq!(
+    without_backlog(balancer.pass(Duration::from_millis(300))),
+    []
+  );
   tell(&mut balancer, 12, 1, busy(1));
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
@@ -90,7 +93,10 @@
   let sent = balancer.frame(first, &refused, &[]);
   let (second, _) = carried(&sent)[0];
   assert_eq!(balancer.frame(second, &refused, &[]), []);
-  assert_eq!(but_backlog(balancer.pass(Duration::from_millis(100))), []);
+  assert_eq!(
+    without_backlog(balancer.pass(Duration::from_millis(100))),
+    []
+  );
   tell(&mut balancer, first, 1, busy(0));
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(carried(&sent), [(first, Purpose::Open)]);
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -3,7 +3,9 @@
 
 use {
   crate::{
-    balancing::{Balancer, absent, asked, balancer, carried, is_reset, search, tell, told},
+    balancing::{
+      Balancer, absent, balancer, carried, feed_balancer_status, is_reset, queried, search, tell,
+    },
     plain::Packet,
     support::{
       Sent, agent, backends, carry, configured, configured_weighted, flow, news, peer, unlisted,
@@ -187,7 +189,7 @@
 /// Checks that a balancer which does not know `flow(1, 1)` finds it at the target of service `b`.
 fn check_found_at_b(balancer: &mut Balancer) {
   let mut all = search(balancer);
-  all.extend(asked(&balancer.pass(Duration::from_millis(50))));
+  all.extend(queried(&balancer.pass(Duration::from_millis(50))));
   assert!(all.contains(&21), "{all:?}");
   for host in [11, 12] {
     let sent = balancer.frame(host, &absent(4), &[]);
@@ -250,14 +252,14 @@
     tell(&mut balancer, host, 1, Load::default());
   }
   let mut all = search(&mut balancer);
-  all.extend(asked(&balancer.pass(Duration::from_millis(50))));
+  all.extend(queried(&balancer.pass(Duration::from_millis(50))));
   assert!(!all.contains(&21), "{all:?}");
 }
 
 #[test]
 fn a_starting_balancer_learns_former_backends_from_its_peers() {
   let mut balancer = balancer();
-  told(&mut balancer, 2);
+  feed_balancer_status(&mut balancer, 2);
   search(&mut balancer);
   for host in [11, 12] {
     let sent = balancer.frame(host, &absent(4), &[]);
@@ -278,7 +280,7 @@
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   let mut repeated = Vec::new();
   for _ in 0..4 {
-    repeated.extend(asked(&balancer.pass(Duration::from_millis(50))));
+    repeated.extend(queried(&balancer.pass(Duration::from_millis(50))));
   }
   assert!(repeated.contains(&21), "{repeated:?}");
   let sent = balancer.frame(21, &absent(4), &[]);
@@ -317,17 +319,17 @@
   let routes = [(1, "b"), (3, "a")];
   balancer.platform(news(Some(6), 7, &[configured(7, 4, &routes)]));
   balancer.packet(Packet::data(flow(1, 3), 2, 100));
-  let mut asked = Vec::new();
+  let mut queried = Vec::new();
   for _ in 0..3 {
     for sent in balancer.pass(Duration::from_millis(50)) {
       if let Sent::Frame(to, Frame::Ask { flows, .. }, _) = sent
-        && flows.iter().any(|(asked, _)| *asked == flow(1, 3))
+        && flows.iter().any(|(queried, _)| *queried == flow(1, 3))
       {
-        asked.push(to.ip().octets()[3]);
+        queried.push(to.ip().octets()[3]);
       }
     }
   }
-  assert!(!asked.contains(&22), "{asked:?}");
+  assert!(!queried.contains(&22), "{queried:?}");
 }
 
 #[test]
