--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -65,12 +65,12 @@
   pub(super) last_tested: HashMap<Flow, Instant>,
   /// The lowest priority among each service's routes; 0 is the highest priority.
   pub(super) lowest_priorities: HashMap<Service, u8>,
+  pub(super) patience: Patience,
   /// When opening packets that are not answered time out.
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
-  pub(super) parking: Parking,
-  pub(super) patience: Patience,
   pub(super) port: u16,
   pub(super) questions: Questions,
+  pub(super) parking: Parking,
   pub(super) restarts: Restarts,
   /// When searches that are not answered time out.
   pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
@@ -109,11 +109,11 @@
       last_expiry: now,
       last_tested: HashMap::new(),
       lowest_priorities: HashMap::new(),
-      opening_deadlines: BTreeSet::new(),
-      parking: Parking::new(now),
       patience: Patience::new(tuning.open_wait, tuning.open_wait),
+      opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
       questions: Questions::new(now, settings.link),
+      parking: Parking::new(now),
       restarts: Restarts::default(),
       search_deadlines: BTreeSet::new(),
       searches: HashMap::new(),
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -31,8 +31,6 @@
   packets: Vec<Vec<u8>>,
   /// The agents that have neither confirmed nor denied the flow.
   pub pending: Agents,
-  /// The index of the buffered packet that agents were sent as a test.
-  probe: Option<usize>,
   /// The agents that were queried, and the one that had denied the flow before.
   pub queried: Agents,
   /// The revision up to which this balancer has to know the target list before denials of all
@@ -42,6 +40,8 @@
   retries: u32,
   /// When it began.
   pub started: Instant,
+  /// The index of the buffered packet that agents were sent as a test.
+  probe: Option<usize>,
   /// The agents that were sent the test.
   tested: Agents,
   /// The agents that were sent the test since they were last queried.
@@ -59,11 +59,11 @@
       is_wide: false,
       packets: Vec::new(),
       pending: Agents::new(),
-      probe: None,
       queried: except.into_iter().collect(),
       required_revision: Revision::default(),
       retries: 0,
       started: now,
+      probe: None,
       tested: Agents::new(),
       trying: Agents::new(),
       unsure: AgentsOfServices::new(),
