--- a/src/datagram/balancer/egress.rs
+++ b/src/datagram/balancer/egress.rs
@@ -6,8 +6,8 @@
   },
 };
 
-/// How much may be in the link's own queue, as sending time; beyond its limit the link drops
-/// packets.
+/// How much the balancer lets into the link's own queue, as sending time; the link drops packets if
+/// that queue is full.
 const LINK_QUEUE_MAX: Duration = Duration::from_millis(15);
 
 /// The fraction of the link's rate that is used; the rest is for lower-layer headers and for
--- a/src/datagram/balancer/ending.rs
+++ b/src/datagram/balancer/ending.rs
@@ -16,8 +16,8 @@
 const NO_SERVICE: Digest = Digest(0);
 
 impl<C: Codec> Machine<C> {
-  /// Resets flows that an agent's upstream has lost in a restart. No other agent can own them, so
-  /// that no search is needed.
+  /// Resets flows that an agent's upstream has lost. No other agent can own them, so that no search
+  /// is needed.
   pub(super) fn reset_lost_flows(
     &mut self,
     now: Instant,
--- a/src/datagram/balancer/history.rs
+++ b/src/datagram/balancer/history.rs
@@ -4,8 +4,8 @@
   time::{Duration, Instant},
 };
 
-/// When a peer that has not answered is sent the request again; shorter than the interval of
-/// statuses.
+/// After how long a peer that has not answered is sent the request again; shorter than the interval
+/// of statuses.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The longest time between two parts of an answer.
@@ -80,9 +80,9 @@
     self.known
   }
 
-  /// Whether enough of `peers` have sent their history: all of a few, half of many. If all
-  /// processes have lost it at once, waiting for the last of many peers takes longer than callers
-  /// wait.
+  /// Whether enough of `peers` have sent their history: all of a few; half of many, or any number
+  /// after a timeout. If all processes have lost their history at once, waiting for the last of
+  /// many peers takes longer than callers wait.
   pub fn is_complete(&self, now: Instant, peers: impl Iterator<Item = SocketAddrV4>) -> bool {
     if self.known {
       return true;
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -50,9 +50,9 @@
   /// Flows that all queried agents have denied while this process may not know all targets yet.
   pub(super) denied: BTreeSet<Flow>,
   pub(super) egress: Egress,
-  /// This balancer's share of the evacuation period, 0 to 1, after which it sends no more new flows
-  /// to a closed data centre. It differs between balancers, so that the other data centres don't
-  /// get all the load at once.
+  /// The fraction of the evacuation period after which this balancer sends no more new flows to a
+  /// closed data centre. It differs between balancers, so that the other data centres don't get all
+  /// the load at once.
   pub(super) evacuation_part: f64,
   pub(super) flows: HashMap<Flow, Place>,
   /// Flows of agents that have stopped gracefully, by agent.
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -10,7 +10,7 @@
 /// How many packets of a flow are buffered: a caller's window.
 const PACKETS_MAX: usize = 16;
 
-/// How often agents that have not answered are queried again.
+/// How often agents that have not answered are queried again, at most.
 const RETRIES_MAX: u32 = 3;
 
 type Agents = SmallVec<[SocketAddrV4; 12]>;
@@ -123,7 +123,7 @@
     self.retain_pending(|other| other != agent);
   }
 
-  /// Stops waiting for all other agents.
+  /// Stops waiting for agents other than those `kept`.
   pub fn retain_pending(&mut self, kept: impl Fn(SocketAddrV4) -> bool) {
     self.pending.retain(|agent| kept(*agent));
     self.unsure.retain(|(agent, _)| kept(*agent));
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -32,8 +32,8 @@
   heard: Option<Instant>,
   incarnation: Option<u32>,
   pub(super) load: Load,
-  /// When a flow last failed to open there: its agent did not answer, or the upstream is down or
-  /// full.
+  /// When a flow last failed to open there: it timed out, or the upstream was down, full or of
+  /// another service.
   pub(super) open_failed: Option<Instant>,
   /// Opening packets sent there that its reported load does not include yet.
   pub(super) pending: u16,
@@ -191,7 +191,7 @@
     if now.saturating_duration_since(self.started) < self.tuning.silent {
       return false;
     }
-    let is_past_grace = |gone: Instant| now.saturating_duration_since(gone) >= REMOVAL_GRACE;
+    let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
     match (self.by_agent.get(&agent), self.past.get(&agent)) {
       (Some(target), _) => target.gone.is_some_and(is_past_grace) && !self.is_heard(now, target),
       (None, Some(past)) => {
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -108,7 +108,8 @@
   }
 
   /// The flow of a lane to be sent to a target first: the newest if it is answered in time there.
-  /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting.
+  /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting,
+  /// if there is one.
   fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Parked> {
     let newest = self.parking.newest(lane)?;
     if self.is_in_time(now, newest, choice) {
@@ -128,7 +129,7 @@
     now.saturating_duration_since(first) + wait <= route.objective
   }
 
-  /// Sends a queued flow to a target; false if its route no longer leads to the service. It is then
+  /// Sends a queued flow to a target; false if its route no longer includes the service. It is then
   /// placed anew, or given up if its route was removed.
   fn send_parked(
     &mut self,
