--- a/src/datagram/balancer/ending.rs
+++ b/src/datagram/balancer/ending.rs
@@ -35,7 +35,10 @@
       let from_search = self.end_search(flow).map(|search| search.acknowledges);
       let returned = head.filter(|head| head.flow == *flow);
       let acknowledges = returned.map(|head| head.acknowledges).or(from_search);
-      log::info!(flow:% = flow, from:% = from; "balancer: upstream has lost the flow.");
+      log::info!(
+        flow:% = flow, from:% = from;
+        "balancer: flow is lost by its upstream and is reset."
+      );
       match acknowledges {
         Some(acknowledges) => self.mark_dead(now, *flow, acknowledges, out),
         // The caller's next packet starts a search.
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -191,7 +191,7 @@
     log::info!(
       flow:% = flow, queried = queried, acknowledges = acknowledges,
       complete:% = self.spread.catalog().complete(), confirmed:? = self.spread.confirmed(now);
-      "balancer: all agents deny the flow, which is reset."
+      "balancer: flow is denied by all agents and is reset."
     );
     self.mark_dead(now, flow, acknowledges, out);
   }
