--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -65,7 +65,7 @@
   pub(super) last_tested: HashMap<Flow, Instant>,
   /// The lowest priority among each service's routes; 0 is the highest priority.
   pub(super) lowest_priorities: HashMap<Service, u8>,
-  pub(super) patience: Patience,
+  pub(super) open_timeout: Patience,
   /// When opening packets that are not answered time out.
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) port: u16,
@@ -109,7 +109,7 @@
       last_expiry: now,
       last_tested: HashMap::new(),
       lowest_priorities: HashMap::new(),
-      patience: Patience::new(tuning.open_wait, tuning.open_wait),
+      open_timeout: Patience::new(tuning.open_wait, tuning.open_wait),
       opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
       questions: Questions::new(now, settings.link),
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -152,7 +152,7 @@
     );
     opening.tried.push(agent);
     opening.sent = now;
-    opening.deadline = now + self.patience.wait();
+    opening.deadline = now + self.open_timeout.wait();
     self.targets.count_opening(agent);
     self.opening_deadlines.insert((opening.deadline, flow));
     let service = service.digest();
@@ -271,7 +271,7 @@
       };
       let time = now.saturating_duration_since(sent);
       self.counter.observe("open", time);
-      self.patience.observe(time);
+      self.open_timeout.observe(time);
       self.opening_deadlines.remove(&(opening.deadline, flow));
       place.service = if place.agent == from {
         place.service
