--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -23,7 +23,7 @@
     self.wake(now);
     let (frame, packet) = Frame::decode(bytes)?;
     match frame {
-      Frame::AskPast => self.tell_past(now, from, out),
+      Frame::AskPast => self.send_history(now, from, out),
       Frame::Absent {
         flows, lost: true, ..
       } => self.reset_lost_flows(now, from, &flows, packet, out),
@@ -73,7 +73,7 @@
   ) {
     self.spread.status(now, from, status);
     let Role::Agent(load) = status.role else {
-      self.ask_past(now, from, out);
+      self.request_history(now, from, out);
       return;
     };
     let change = self.targets.record_status(now, from, status, load);
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -181,7 +181,7 @@
       self.opening_deadlines.pop_first();
       self.time_out_opening(now, deadline, flow, out);
     }
-    self.ask_all_past(now, out);
+    self.request_all_history(now, out);
     self.conclude_denied(now, out);
     while let Some((deadline, flow)) = self.search_deadlines.first().copied() {
       if deadline > now {
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -9,24 +9,24 @@
 
 impl<C: Codec> Machine<C> {
   /// Requests a balancer's history, unless it is known or the request was sent recently.
-  pub(super) fn ask_past(&mut self, now: Instant, balancer: SocketAddrV4, out: &mut Outbox) {
+  pub(super) fn request_history(&mut self, now: Instant, balancer: SocketAddrV4, out: &mut Outbox) {
     if self.history.take_due(now, balancer) {
       out.frame(balancer, &Frame::AskPast, &[]);
     }
   }
 
   /// Requests the history of all live balancers that have not answered, if a search depends on it.
-  pub(super) fn ask_all_past(&mut self, now: Instant, out: &mut Outbox) {
+  pub(super) fn request_all_history(&mut self, now: Instant, out: &mut Outbox) {
     if self.history.is_known() || self.denied.is_empty() {
       return;
     }
     for balancer in self.spread.present(now).collect::<Vec<_>>() {
-      self.ask_past(now, balancer, out);
+      self.request_history(now, balancer, out);
     }
   }
 
   /// Sends the targets that were removed, and the services that addresses were routed to.
-  pub(super) fn tell_past(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
+  pub(super) fn send_history(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
     let past = self.targets.past(now, self.spread.catalog());
     let known = self.history.is_known();
     let led = self.spread.led(now);
@@ -47,18 +47,18 @@
 
   /// Whether the history is lost for good: this process has just started, and none of the balancers
   /// that have answered knows more. They have all lost power then.
-  pub(super) fn is_past_lost(&self, now: Instant) -> bool {
-    !self.history.is_known() && self.history.is_starting(now) && self.is_past_told(now)
+  pub(super) fn is_history_lost(&self, now: Instant) -> bool {
+    !self.history.is_known() && self.history.is_starting(now) && self.is_history_complete(now)
   }
 
-  pub(super) fn is_past_told(&self, now: Instant) -> bool {
+  pub(super) fn is_history_complete(&self, now: Instant) -> bool {
     self.history.is_complete(now, self.spread.present(now))
   }
 
   /// Resets flows that all agents have denied, once the history is complete enough to prove that
   /// they are lost.
   pub(super) fn conclude_denied(&mut self, now: Instant, out: &mut Outbox) {
-    if self.denied.is_empty() || !self.is_past_told(now) {
+    if self.denied.is_empty() || !self.is_history_complete(now) {
       return;
     }
     for flow in std::mem::take(&mut self.denied) {
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -180,7 +180,7 @@
       return;
     }
     let queried = search.queried.len();
-    if !known || !self.is_past_told(now) {
+    if !known || !self.is_history_complete(now) {
       self.denied.insert(flow);
       return;
     }
--- a/src/datagram/balancer/trying.rs
+++ b/src/datagram/balancer/trying.rs
@@ -50,7 +50,7 @@
     let mut agents = search.to_try();
     // Cheap checks first: after a restart there is a search for each open flow.
     let is_uncertain = !agents.is_empty() && search.has_unanswered();
-    let is_history_gone = is_uncertain && search.is_majority_unsure() && self.is_past_lost(now);
+    let is_history_gone = is_uncertain && search.is_majority_unsure() && self.is_history_lost(now);
     if is_uncertain && !is_history_gone {
       let recent = |at: &Instant| now.saturating_duration_since(*at) < TRY_EVERY;
       let was_tested = self.last_tested.get(&flow).is_some_and(recent);
