--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -37,8 +37,8 @@
       Frame::Found { flow, service } => self.complete_search(now, from, flow, service, out),
       Frame::Grant(load) => self.accept_grant(now, from, load, out),
       Frame::Handover { flows, part, parts } => {
-        let handed = self.handed.entry(from).or_default();
-        handed.take(now, part, parts, flows);
+        let handover = self.handovers.entry(from).or_default();
+        handover.take(now, part, parts, flows);
         self.restarts.begin(now, from);
       }
       Frame::Past {
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -56,7 +56,7 @@
   pub(super) evacuation_part: f64,
   pub(super) flows: HashMap<Flow, Place>,
   /// Flows of agents that have stopped gracefully, by agent.
-  pub(super) handed: HashMap<SocketAddrV4, Handover>,
+  pub(super) handovers: HashMap<SocketAddrV4, Handover>,
   /// Whether timers have run once: a slow start is not a stall.
   pub(super) has_run: bool,
   pub(super) history: History,
@@ -103,7 +103,7 @@
       egress: Egress::new(now, settings.link),
       evacuation_part: f64::from(incarnation % 1000) / 1000.0,
       flows: HashMap::new(),
-      handed: HashMap::new(),
+      handovers: HashMap::new(),
       has_run: false,
       history: History::new(now, settings.first_start),
       last_expiry: now,
@@ -218,8 +218,8 @@
     let recent = |at: &mut Instant| now.saturating_duration_since(*at) < TRY_EVERY;
     self.last_tested.retain(|_, at| recent(at));
     self
-      .handed
-      .retain(|_, handed| handed.age(now) < HANDED_KEPT);
+      .handovers
+      .retain(|_, handover| handover.age(now) < HANDED_KEPT);
     self.spread.expire(now);
     self.history.expire(now, self.tuning.amnesia);
     self.targets.expire(now);
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -21,10 +21,10 @@
     let mut known = known.map(|(flow, _)| *flow).collect::<Vec<_>>();
     // In a fixed order, so that simulations are reproducible.
     known.sort_unstable();
-    let handed = self.handed.remove(&agent);
+    let handover = self.handovers.remove(&agent);
     log::info!(
       agent:% = agent, flows = known.len(),
-      handover_complete = handed.as_ref().is_some_and(|handed| handed.is_whole_at(now));
+      handover_complete = handover.as_ref().is_some_and(|handover| handover.is_whole_at(now));
       "balancer: agent has restarted."
     );
     for part in known.chunks(FLOWS_PER_FRAME) {
@@ -33,8 +33,8 @@
       };
       out.frame(agent, &frame, &[]);
     }
-    if let Some(handed) = handed {
-      handed.send(now, true, agent, out);
+    if let Some(handover) = handover {
+      handover.send(now, true, agent, out);
     }
   }
 
