--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -38,7 +38,7 @@
 const STILL: Duration = Duration::from_millis(150);
 
 /// How long the handover of a stopped agent is kept for its next incarnation.
-const HANDED_KEPT: Duration = Duration::from_secs(30);
+const HANDOVER_TTL: Duration = Duration::from_secs(30);
 
 /// The state of a balancer, without I/O or clock of its own.
 pub struct Machine<C> {
@@ -219,7 +219,7 @@
     self.last_tested.retain(|_, at| recent(at));
     self
       .handovers
-      .retain(|_, handover| handover.age(now) < HANDED_KEPT);
+      .retain(|_, handover| handover.age(now) < HANDOVER_TTL);
     self.spread.expire(now);
     self.history.expire(now, self.tuning.amnesia);
     self.targets.expire(now);
