--- a/src/datagram/balancer.rs
+++ b/src/datagram/balancer.rs
@@ -14,7 +14,7 @@
 mod packets;
 mod parking;
 mod place;
-mod questions;
+mod queries;
 mod remembering;
 mod restarting;
 mod restarts;
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -5,7 +5,7 @@
     history::History,
     parking::Parking,
     place::{Place, State},
-    questions::Questions,
+    queries::Queries,
     restarts::Restarts,
     search::Search,
     targets::Targets,
@@ -69,7 +69,7 @@
   /// When opening packets that are not answered time out.
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) port: u16,
-  pub(super) questions: Questions,
+  pub(super) queries: Queries,
   pub(super) parking: Parking,
   pub(super) restarts: Restarts,
   /// When searches that are not answered time out.
@@ -112,7 +112,7 @@
       open_timeout: Patience::new(tuning.open_wait, tuning.open_wait),
       opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
-      questions: Questions::new(now, settings.link),
+      queries: Queries::new(now, settings.link),
       parking: Parking::new(now),
       restarts: Restarts::default(),
       search_deadlines: BTreeSet::new(),
@@ -163,7 +163,7 @@
       parked,
       restart,
       search,
-      self.questions.deadline(),
+      self.queries.deadline(),
     ]
     .into_iter()
     .flatten()
@@ -193,7 +193,7 @@
     self.place_queued(now, out);
     self.poll_restarts(now, out);
     let complete = self.spread.catalog().complete();
-    self.questions.send(now, complete, out);
+    self.queries.send(now, complete, out);
     if now >= self.last_expiry + EXPIRY_INTERVAL {
       self.last_expiry = now;
       self.expire(now);
--- a/src/datagram/balancer/questions.rs
+++ b/src/datagram/balancer/queries.rs
@@ -26,7 +26,7 @@
 /// Queries about flows, batched by agent and sent at a bounded rate, so that they leave the link
 /// free for answers. The more are pending, the more flows a datagram names.
 #[derive(Debug)]
-pub struct Questions {
+pub struct Queries {
   /// The interval between datagrams.
   interval: Duration,
   /// When the next datagram may be sent.
@@ -36,7 +36,7 @@
   pending: BTreeMap<(SocketAddrV4, Digests), Vec<(Flow, u32)>>,
 }
 
-impl Questions {
+impl Queries {
   /// No queries. The rate is derived from that of the link, if it is known.
   pub fn new(now: Instant, link: Option<Rate>) -> Self {
     let second = Duration::from_secs(1);
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -4,7 +4,7 @@
   super::{
     machine::Machine,
     place::{Place, State},
-    questions::Digests,
+    queries::Digests,
     search::Search,
   },
   crate::{
@@ -294,9 +294,7 @@
     let services = self.spread.catalog().services(&flow.route);
     let services = services.iter().map(Service::digest).collect::<Digests>();
     for agent in agents {
-      self
-        .questions
-        .add(now, *agent, &services, flow, acknowledges);
+      self.queries.add(now, *agent, &services, flow, acknowledges);
     }
   }
 }
--- a/src/datagram/balancer/trying.rs
+++ b/src/datagram/balancer/trying.rs
@@ -75,7 +75,7 @@
     out: &mut Outbox,
   ) {
     if let [(agent, service)] = agents {
-      self.questions.charge(now);
+      self.queries.charge(now);
       self.carry(*agent, Purpose::Test, *service, packet, out);
       return;
     }
@@ -86,7 +86,7 @@
       let Some((relay, _)) = local.next().or(agents.first()) else {
         return;
       };
-      self.questions.charge(now);
+      self.queries.charge(now);
       let frame = Frame::Fan {
         agents: agents.to_vec(),
         complete: self.spread.catalog().complete(),
