--- a/src/datagram/balancer.rs
+++ b/src/datagram/balancer.rs
@@ -21,7 +21,7 @@
 mod search;
 mod searching;
 mod targets;
-mod trying;
+mod testing;
 mod waiting;
 
 pub use machine::Machine;
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -9,7 +9,7 @@
     restarts::Restarts,
     search::Search,
     targets::Targets,
-    trying::TRY_EVERY,
+    testing::TEST_EVERY,
   },
   crate::{
     Code,
@@ -215,7 +215,7 @@
       };
       now.saturating_duration_since(place.last_packet) < ttl
     });
-    let recent = |at: &mut Instant| now.saturating_duration_since(*at) < TRY_EVERY;
+    let recent = |at: &mut Instant| now.saturating_duration_since(*at) < TEST_EVERY;
     self.last_tested.retain(|_, at| recent(at));
     self
       .handovers
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -41,11 +41,11 @@
   /// When it began.
   pub started: Instant,
   /// The index of the buffered packet that agents were sent as a test.
-  probe: Option<usize>,
+  test_packet: Option<usize>,
   /// The agents that were sent the test.
   tested: Agents,
   /// The agents that were sent the test since they were last queried.
-  trying: Agents,
+  testing: Agents,
   /// The agents that cannot answer without a test, with the services of their upstreams.
   unsure: AgentsOfServices,
 }
@@ -63,9 +63,9 @@
       required_revision: Revision::default(),
       retries: 0,
       started: now,
-      probe: None,
+      test_packet: None,
       tested: Agents::new(),
-      trying: Agents::new(),
+      testing: Agents::new(),
       unsure: AgentsOfServices::new(),
     }
   }
@@ -100,7 +100,7 @@
       return false;
     }
     self.retries += 1;
-    self.trying.clear();
+    self.testing.clear();
     self.deadline = now + first * 2_u32.pow(self.retries);
     true
   }
@@ -127,7 +127,7 @@
   pub fn retain_pending(&mut self, kept: impl Fn(SocketAddrV4) -> bool) {
     self.pending.retain(|agent| kept(*agent));
     self.unsure.retain(|(agent, _)| kept(*agent));
-    self.trying.retain(|agent| kept(*agent));
+    self.testing.retain(|agent| kept(*agent));
   }
 
   /// Whether an agent that may own the flow has not answered, including those not queried yet.
@@ -146,41 +146,43 @@
   }
 
   /// The agents to be sent a test, with the services of their upstreams.
-  pub fn to_try(&self) -> AgentsOfServices {
-    if self.trying.len() == self.unsure.len() {
+  pub fn to_test(&self) -> AgentsOfServices {
+    if self.testing.len() == self.unsure.len() {
       return AgentsOfServices::new();
     }
     let unsure = self.unsure.iter().copied();
     unsure
-      .filter(|(agent, _)| !self.trying.contains(agent))
+      .filter(|(agent, _)| !self.testing.contains(agent))
       .collect()
   }
 
   /// Records that agents are sent a test. Returns the packet for it, which is the smallest unless
   /// one was sent before; none if no packet is buffered.
-  pub fn probe(&mut self, agents: &[(SocketAddrV4, Digest)]) -> Option<&[u8]> {
+  pub fn start_test(&mut self, agents: &[(SocketAddrV4, Digest)]) -> Option<&[u8]> {
     for (agent, _) in agents {
-      self.trying.push(*agent);
+      self.testing.push(*agent);
       if !self.tested.contains(agent) {
         self.tested.push(*agent);
       }
     }
     let sizes = self.packets.iter().enumerate();
     let smallest = || sizes.min_by_key(|(_, packet)| packet.len());
-    let index = self.probe.or_else(|| smallest().map(|(index, _)| index));
-    self.probe = index;
+    let index = self
+      .test_packet
+      .or_else(|| smallest().map(|(index, _)| index));
+    self.test_packet = index;
     Some(&self.packets[index?])
   }
 
   /// Discards what the previous incarnation of a restarted agent has answered.
-  pub fn try_again(&mut self, agent: SocketAddrV4) {
-    self.trying.retain(|trying| *trying != agent);
+  pub fn test_again(&mut self, agent: SocketAddrV4) {
+    self.testing.retain(|testing| *testing != agent);
     self.unsure.retain(|(unsure, _)| *unsure != agent);
   }
 
   /// The buffered packets that an agent was not sent as a test.
   pub fn packets_for(&self, agent: SocketAddrV4) -> impl Iterator<Item = &[u8]> {
-    let sent = self.probe.filter(|_| self.tested.contains(&agent));
+    let sent = self.test_packet.filter(|_| self.tested.contains(&agent));
     let packets = self.packets.iter().enumerate();
     packets
       .filter(move |(index, _)| Some(*index) != sent)
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -156,7 +156,7 @@
       return;
     };
     if search.is_wide && !search.pending.is_empty() {
-      self.try_unsure(now, flow, out);
+      self.test_unsure(now, flow, out);
     } else if !search.has_unanswered_queries() {
       self.query_rest(now, flow, out);
     }
@@ -176,7 +176,7 @@
     let known = self.spread.catalog().complete() >= search.required_revision;
     if !search.pending.is_empty() {
       self.query(now, flow, acknowledges, &new);
-      self.try_unsure(now, flow, out);
+      self.test_unsure(now, flow, out);
       return;
     }
     let queried = search.queried.len();
@@ -273,7 +273,7 @@
     let searches = self.searches.iter_mut();
     let affected = searches.filter(|(_, search)| search.pending.contains(&agent));
     let affected = affected.map(|(flow, search)| {
-      search.try_again(agent);
+      search.test_again(agent);
       (*flow, search.acknowledges)
     });
     for (flow, acknowledges) in affected.collect::<BTreeMap<_, _>>() {
--- a/src/datagram/balancer/trying.rs
+++ b/src/datagram/balancer/testing.rs
@@ -15,7 +15,7 @@
 
 /// How often a flow is tested while agents that may own it have not answered: about once in its
 /// life, since an agent behind a congested link may not answer for long.
-pub(super) const TRY_EVERY: Duration = Duration::from_mins(1);
+pub(super) const TEST_EVERY: Duration = Duration::from_mins(1);
 
 impl<C: Codec> Machine<C> {
   /// Records that an agent needs packets to determine whether it owns some flows, and sends them as
@@ -32,7 +32,7 @@
       if let Some(search) = self.searches.get_mut(flow) {
         search.mark_unsure(from, service);
         self.advance_search(now, *flow, out);
-        self.try_unsure(now, *flow, out);
+        self.test_unsure(now, *flow, out);
       }
     }
   }
@@ -40,34 +40,34 @@
   /// Sends a packet to agents as a test of whether they own its flow. While others have not
   /// answered, only one agent is tested, since most likely one of the others owns the flow. All are
   /// tested at once when everyone has answered, or when all processes have lost power.
-  pub(super) fn try_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
+  pub(super) fn test_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     if self.spread.catalog().route(&flow.route).is_none() {
       return;
     }
     let Some(mut search) = self.searches.remove(&flow) else {
       return;
     };
-    let mut agents = search.to_try();
+    let mut agents = search.to_test();
     // Cheap checks first: after a restart there is a search for each open flow.
     let is_uncertain = !agents.is_empty() && search.has_unanswered();
     let is_history_gone = is_uncertain && search.is_majority_unsure() && self.is_history_lost(now);
     if is_uncertain && !is_history_gone {
-      let recent = |at: &Instant| now.saturating_duration_since(*at) < TRY_EVERY;
+      let recent = |at: &Instant| now.saturating_duration_since(*at) < TEST_EVERY;
       let was_tested = self.last_tested.get(&flow).is_some_and(recent);
       agents.truncate(usize::from(!was_tested));
     }
     if !agents.is_empty()
-      && let Some(packet) = search.probe(&agents)
+      && let Some(packet) = search.start_test(&agents)
     {
       self.last_tested.insert(flow, now);
-      self.try_at(now, &agents, packet, out);
+      self.test_at(now, &agents, packet, out);
     }
     self.searches.insert(flow, search);
   }
 
   /// Sends a test to agents. Several get it through one of them, so that the packet crosses this
   /// instance's link once.
-  fn try_at(
+  fn test_at(
     &mut self,
     now: Instant,
     agents: &[(SocketAddrV4, Digest)],
