--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -36,7 +36,7 @@
     if !self.searches.contains_key(&flow) {
       let services = self.spread.catalog().services(&flow.route);
       let mut search = Search::new(now, head.acknowledges, except);
-      let mut queried = search.add_queried(self.targets.near_holders(&services));
+      let mut queried = search.add_queried(self.targets.local_holders(&services));
       if queried.is_empty() {
         search.is_wide = true;
         queried = search.add_queried(self.targets.holders(&services));
@@ -54,7 +54,7 @@
       let wait = if search.is_wide {
         self.tuning.search
       } else {
-        self.tuning.search_near
+        self.tuning.search_local
       };
       search.deadline = now + wait;
       self.search_deadlines.insert((search.deadline, flow));
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -180,7 +180,7 @@
   }
 
   /// Those of the holders that are in this data centre.
-  pub fn near_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
+  pub fn local_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
     self.holders(services).filter(|agent| self.is_near(*agent))
   }
 
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -121,7 +121,7 @@
   pub search: Duration,
   /// How long agents of the balancer's own data centre are waited for before all others are asked
   /// too: longer than `test`, since one that has just started tries first.
-  pub search_near: Duration,
+  pub search_local: Duration,
   /// How many bytes of packets are held while their flows are searched for.
   pub search_bytes: usize,
   /// A process that was not heard of for so long is passed over.
@@ -157,7 +157,7 @@
       report: Duration::from_millis(100),
       search: Duration::from_millis(150),
       search_bytes: 4 << 20,
-      search_near: Duration::from_millis(50),
+      search_local: Duration::from_millis(50),
       silent: Duration::from_millis(1500),
       status: Duration::from_millis(500),
       takeover: Duration::from_millis(1800),
