--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -3,9 +3,9 @@
     announced::Announced,
     egress::Egress,
     history::History,
-    parking::Parking,
     place::{Place, State},
     queries::Queries,
+    queue::Queue,
     restarts::Restarts,
     search::Search,
     targets::Targets,
@@ -70,7 +70,7 @@
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) port: u16,
   pub(super) queries: Queries,
-  pub(super) parking: Parking,
+  pub(super) queue: Queue,
   pub(super) restarts: Restarts,
   /// When searches that are not answered time out.
   pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
@@ -113,7 +113,7 @@
       opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
       queries: Queries::new(now, settings.link),
-      parking: Parking::new(now),
+      queue: Queue::new(now),
       restarts: Restarts::default(),
       search_deadlines: BTreeSet::new(),
       searches: HashMap::new(),
@@ -154,13 +154,13 @@
       .map(|(deadline, _)| *deadline);
     let search = self.search_deadlines.first().map(|(deadline, _)| *deadline);
     let status = self.spread.deadline();
-    let parked = self.parking.deadline();
+    let queued = self.queue.deadline();
     let egress = self.egress.deadline();
     let restart = self.restarts.deadline();
     [
       egress,
       opening,
-      parked,
+      queued,
       restart,
       search,
       self.queries.deadline(),
@@ -239,7 +239,7 @@
   fn dump(&self, now: Instant) -> serde_json::Value {
     json!({
       "flows": self.flows.len(),
-      "parked": self.parking.total(),
+      "parked": self.queue.total(),
       "waiting": self.egress.len(),
       "searches": self.searches.len(),
       "spread": self.spread.dump(now),
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -4,8 +4,8 @@
   super::{
     choosing::Choice,
     machine::{Machine, TARGETS_MAX},
-    parking::Lane,
     place::{Opening, Place, State, Tried},
+    queue::Lane,
   },
   crate::{
     Code,
@@ -52,7 +52,7 @@
           return Ok(());
         }
         State::Opening(before) => opening.tried = std::mem::take(&mut before.tried),
-        State::Parked(_, before) => {
+        State::Queued(_, before) => {
           before.record_retransmission(head.acknowledges, opening.packet);
           return Ok(());
         }
@@ -121,8 +121,8 @@
     };
     // Known loads are out of date while flows are queued, and targets would refuse: new flows wait
     // for granted slots then.
-    if self.parking.has_flows(service) || self.is_too_long(&flow, service, choice.wait_ms) {
-      return self.park(now, flow, service, opening, Some(choice), out);
+    if self.queue.has_flows(service) || self.is_too_long(&flow, service, choice.wait_ms) {
+      return self.enqueue(now, flow, service, opening, Some(choice), out);
     }
     self.send_to(now, flow, service, opening, choice, out);
     Ok(())
@@ -232,7 +232,7 @@
     let next = self.choose(now, &flow, &service, &opening.tried);
     if opening.tried.len() >= TARGETS_MAX || next.is_none() {
       // If targets do not answer, the caller's next retransmission is placed anew.
-      if answered && let Err(code) = self.park(now, flow, &service, opening, next, out) {
+      if answered && let Err(code) = self.enqueue(now, flow, &service, opening, next, out) {
         self.counter.count(code);
       }
       return;
@@ -252,12 +252,12 @@
   ) {
     self.targets.record_load(now, from, load);
     self.targets.clear_failure(from);
-    self.unpark(&flow);
+    self.dequeue(&flow);
     let service = self.targets.service(from).map(Service::digest);
     let Some(place) = self.flows.get_mut(&flow) else {
       return;
     };
-    if let State::Parked(..) = place.state {
+    if let State::Queued(..) = place.state {
       // The target was sent the packet before the flow was queued.
       place.agent = from;
       place.service = service.unwrap_or(place.service);
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -48,9 +48,9 @@
       Some(place) if matches!(place.state, State::Dead) => {
         self.reset(&head.flow, head.acknowledges, out);
       }
-      Some(place) if matches!(place.state, State::Parked(..)) => {
+      Some(place) if matches!(place.state, State::Queued(..)) => {
         // The flow was opened by another balancer.
-        self.unpark(&head.flow);
+        self.dequeue(&head.flow);
         self.flows.remove(&head.flow);
         self.search(now, head, packet, None);
       }
--- a/src/datagram/balancer/place.rs
+++ b/src/datagram/balancer/place.rs
@@ -1,5 +1,5 @@
 use {
-  super::parking::Lane,
+  super::queue::Lane,
   crate::datagram::{Codec, Head, service::Digest},
   smallvec::SmallVec,
   std::{net::SocketAddrV4, time::Instant},
@@ -37,7 +37,7 @@
   /// The target has accepted it, as far as this balancer knows.
   Open,
   /// The opening packet is in the admission queue.
-  Parked(Lane, Opening),
+  Queued(Lane, Opening),
   /// No agent owns it; it was reset.
   Dead,
 }
--- a/src/datagram/balancer/parking.rs
+++ b/src/datagram/balancer/queue.rs
@@ -26,27 +26,27 @@
 }
 
 /// When the caller first sent the opening packet of a queued flow, and the flow.
-pub type Parked = (Instant, Flow);
+pub type Queued = (Instant, Flow);
 
 /// The admission queue: new flows that wait until a target can take them.
 #[derive(Debug)]
-pub struct Parking {
+pub struct Queue {
   next_check: Instant,
-  parked: BTreeMap<Lane, BTreeSet<Parked>>,
+  queued: BTreeMap<Lane, BTreeSet<Queued>>,
 }
 
-impl Parking {
+impl Queue {
   /// An empty queue.
   pub fn new(now: Instant) -> Self {
     Self {
       next_check: now,
-      parked: BTreeMap::new(),
+      queued: BTreeMap::new(),
     }
   }
 
   /// When targets are next checked for queued flows; none if the queue is empty.
   pub fn deadline(&self) -> Option<Instant> {
-    (!self.parked.is_empty()).then_some(self.next_check)
+    (!self.queued.is_empty()).then_some(self.next_check)
   }
 
   /// The lanes to be checked now, in order; empty until the deadline, which is then set anew.
@@ -55,62 +55,62 @@
       return Vec::new();
     }
     self.next_check = now + POLL_INTERVAL;
-    self.parked.keys().cloned().collect()
+    self.queued.keys().cloned().collect()
   }
 
   /// Whether flows of a service are queued.
   pub fn has_flows(&self, service: &Service) -> bool {
-    self.parked.keys().any(|lane| lane.service == *service)
+    self.queued.keys().any(|lane| lane.service == *service)
   }
 
   /// The lanes of a service that have queued flows, the highest priority first.
   pub fn lanes(&self, service: &Service) -> Vec<Lane> {
-    let lanes = self.parked.keys().filter(|lane| lane.service == *service);
+    let lanes = self.queued.keys().filter(|lane| lane.service == *service);
     lanes.cloned().collect()
   }
 
   /// How many flows of a service are queued.
   pub fn len(&self, service: &Service) -> usize {
-    let lanes = self.parked.iter();
+    let lanes = self.queued.iter();
     let lanes = lanes.filter(|(lane, _)| lane.service == *service);
-    lanes.map(|(_, parked)| parked.len()).sum()
+    lanes.map(|(_, queued)| queued.len()).sum()
   }
 
   /// The flow of a lane whose caller started last.
-  pub fn newest(&self, lane: &Lane) -> Option<Parked> {
-    self.parked.get(lane)?.last().copied()
+  pub fn newest(&self, lane: &Lane) -> Option<Queued> {
+    self.queued.get(lane)?.last().copied()
   }
 
   /// The flow of a lane whose caller started first.
-  pub fn oldest(&self, lane: &Lane) -> Option<Parked> {
-    self.parked.get(lane)?.first().copied()
+  pub fn oldest(&self, lane: &Lane) -> Option<Queued> {
+    self.queued.get(lane)?.first().copied()
   }
 
   /// The flow of a lane whose caller started first, at `since` or later.
-  pub fn oldest_since(&self, lane: &Lane, since: Instant) -> Option<Parked> {
-    let parked = self.parked.get(lane)?;
-    parked.range((since, FIRST_FLOW)..).next().copied()
+  pub fn oldest_since(&self, lane: &Lane, since: Instant) -> Option<Queued> {
+    let queued = self.queued.get(lane)?;
+    queued.range((since, FIRST_FLOW)..).next().copied()
   }
 
   /// Adds a flow.
-  pub fn park(&mut self, now: Instant, lane: &Lane, parked: Parked) {
+  pub fn enqueue(&mut self, now: Instant, lane: &Lane, queued: Queued) {
     self.next_check = self.next_check.max(now);
-    self.parked.entry(lane.clone()).or_default().insert(parked);
+    self.queued.entry(lane.clone()).or_default().insert(queued);
   }
 
   /// Removes a flow, if it is in the lane.
-  pub fn remove(&mut self, lane: &Lane, parked: Parked) {
-    let Some(flows) = self.parked.get_mut(lane) else {
+  pub fn remove(&mut self, lane: &Lane, queued: Queued) {
+    let Some(flows) = self.queued.get_mut(lane) else {
       return;
     };
-    flows.remove(&parked);
+    flows.remove(&queued);
     if flows.is_empty() {
-      self.parked.remove(lane);
+      self.queued.remove(lane);
     }
   }
 
   /// How many flows are queued in all.
   pub fn total(&self) -> usize {
-    self.parked.values().map(BTreeSet::len).sum()
+    self.queued.values().map(BTreeSet::len).sum()
   }
 }
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -4,8 +4,8 @@
   super::{
     choosing::Choice,
     machine::Machine,
-    parking::{Lane, Parked},
     place::{Opening, Place, State, Tried},
+    queue::{Lane, Queued},
   },
   crate::{
     Code,
@@ -22,7 +22,7 @@
 
 impl<C: Codec> Machine<C> {
   /// Queues an opening packet, or gives it up if the queue of its service is full.
-  pub(super) fn park(
+  pub(super) fn enqueue(
     &mut self,
     now: Instant,
     flow: Flow,
@@ -31,19 +31,19 @@
     choice: Option<Choice>,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    if (self.parking.len(service) as f64) < self.queue_capacity(now, service) {
+    if (self.queue.len(service) as f64) < self.queue_capacity(now, service) {
       log::info!(
         flow:% = flow, service:% = service, wait_ms:? = choice.map(|choice| choice.wait_ms),
-        ahead = self.parking.len(service);
+        ahead = self.queue.len(service);
         "balancer: flow is queued until a target can take it."
       );
       let lane = self.lane(&flow, service);
-      self.parking.park(now, &lane, (opening.first, flow));
+      self.queue.enqueue(now, &lane, (opening.first, flow));
       let place = Place {
         agent: self.spread.address(),
         last_packet: now,
         service: service.digest(),
-        state: State::Parked(lane, opening),
+        state: State::Queued(lane, opening),
       };
       self.flows.insert(flow, place);
       return Ok(());
@@ -52,7 +52,7 @@
       flow:% = flow, service:% = service, at:? = choice.map(|choice| choice.agent),
       wait_ms:? = choice.map(|choice| choice.wait_ms),
       age_ms:? = choice.and_then(|choice| self.targets.age_ms(now, choice.agent)),
-      version:% = self.spread.catalog().version(), queued = self.parking.len(service);
+      version:% = self.spread.catalog().version(), queued = self.queue.len(service);
       "balancer: admission queue is full."
     );
     self.give_up(now, &flow, &opening, out);
@@ -85,10 +85,10 @@
 
   /// Sends queued flows to targets that can take them, the highest priority first.
   pub(super) fn place_queued(&mut self, now: Instant, out: &mut Outbox) {
-    for lane in self.parking.due(now) {
-      self.expire_parked(now, &lane, out);
-      while let Some((parked, choice)) = self.next_parked(now, &lane) {
-        let _ = self.send_parked(now, &lane, parked, choice, out);
+    for lane in self.queue.due(now) {
+      self.expire_queued(now, &lane, out);
+      while let Some((queued, choice)) = self.next_queued(now, &lane) {
+        let _ = self.send_queued(now, &lane, queued, choice, out);
       }
       self.announce(now, &lane.service, out);
     }
@@ -96,32 +96,32 @@
 
   /// The next flow of a lane to be sent, with its target; none if it would wait too long at every
   /// target.
-  fn next_parked(&self, now: Instant, lane: &Lane) -> Option<(Parked, Choice)> {
-    let (_, newest) = self.parking.newest(lane)?;
+  fn next_queued(&self, now: Instant, lane: &Lane) -> Option<(Queued, Choice)> {
+    let (_, newest) = self.queue.newest(lane)?;
     let choice = self.choose(now, &newest, &lane.service, &Tried::new())?;
-    let parked = self.most_urgent(now, lane, &choice)?;
-    let (first, flow) = parked;
+    let queued = self.most_urgent(now, lane, &choice)?;
+    let (first, flow) = queued;
     let waited_ms = now.saturating_duration_since(first).as_secs_f64() * 1000.0;
     let is_soon =
       choice.is_free || !self.is_too_long(&flow, &lane.service, choice.wait_ms + waited_ms);
-    is_soon.then_some((parked, choice))
+    is_soon.then_some((queued, choice))
   }
 
   /// The flow of a lane to be sent to a target first: the newest if it is answered in time there.
   /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting,
   /// if there is one.
-  fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Parked> {
-    let newest = self.parking.newest(lane)?;
+  fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Queued> {
+    let newest = self.queue.newest(lane)?;
     if self.is_in_time(now, newest, choice) {
       return Some(newest);
     }
     let since = now.checked_sub(C::heard()).unwrap_or(now);
-    self.parking.oldest_since(lane, since).or(Some(newest))
+    self.queue.oldest_since(lane, since).or(Some(newest))
   }
 
   /// Whether a flow would be answered within its route's objective, counted from when the caller
   /// started.
-  fn is_in_time(&self, now: Instant, (first, flow): Parked, choice: &Choice) -> bool {
+  fn is_in_time(&self, now: Instant, (first, flow): Queued, choice: &Choice) -> bool {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return false;
     };
@@ -131,17 +131,17 @@
 
   /// Sends a queued flow to a target; false if its route no longer includes the service. It is then
   /// placed anew, or given up if its route was removed.
-  fn send_parked(
+  fn send_queued(
     &mut self,
     now: Instant,
     lane: &Lane,
-    parked: Parked,
+    queued: Queued,
     choice: Choice,
     out: &mut Outbox,
   ) -> bool {
-    let (_, flow) = parked;
-    self.parking.remove(lane, parked);
-    let Some(opening) = self.parked(&flow).cloned() else {
+    let (_, flow) = queued;
+    self.queue.remove(lane, queued);
+    let Some(opening) = self.queued_opening(&flow).cloned() else {
       return false;
     };
     let Some(route) = self.spread.catalog().route(&flow.route) else {
@@ -197,10 +197,10 @@
       is_granted: true,
       ..choice
     };
-    for lane in self.parking.lanes(service) {
-      self.expire_parked(now, &lane, out);
-      while let Some(parked) = self.most_urgent(now, &lane, &choice) {
-        if self.send_parked(now, &lane, parked, choice, out) {
+    for lane in self.queue.lanes(service) {
+      self.expire_queued(now, &lane, out);
+      while let Some(queued) = self.most_urgent(now, &lane, &choice) {
+        if self.send_queued(now, &lane, queued, choice, out) {
           return true;
         }
       }
@@ -210,7 +210,7 @@
 
   /// Sends the length of a service's queue to its agents, which reserve slots then.
   fn announce(&mut self, now: Instant, service: &Service, out: &mut Outbox) {
-    let flows = self.parking.len(service);
+    let flows = self.queue.len(service);
     if flows == 0 {
       self.announced.remove(service);
       return;
@@ -228,39 +228,39 @@
   }
 
   /// The opening packet of a queued flow; none if it is not queued.
-  fn parked(&self, flow: &Flow) -> Option<&Opening> {
+  fn queued_opening(&self, flow: &Flow) -> Option<&Opening> {
     match &self.flows.get(flow)?.state {
-      State::Parked(_, opening) => Some(opening),
+      State::Queued(_, opening) => Some(opening),
       _ => None,
     }
   }
 
   /// Removes a flow from the queue.
-  pub(super) fn unpark(&mut self, flow: &Flow) {
+  pub(super) fn dequeue(&mut self, flow: &Flow) {
     if let Some(Place {
-      state: State::Parked(lane, opening),
+      state: State::Queued(lane, opening),
       ..
     }) = self.flows.get(flow)
     {
-      self.parking.remove(lane, (opening.first, *flow));
+      self.queue.remove(lane, (opening.first, *flow));
     }
   }
 
   /// Gives up flows whose callers would give up before an answer reached them, and all flows of a
   /// service whose data centres are all closed.
-  fn expire_parked(&mut self, now: Instant, lane: &Lane, out: &mut Outbox) {
+  fn expire_queued(&mut self, now: Instant, lane: &Lane, out: &mut Outbox) {
     let ttl = if self.targets.all_closed(now, &lane.service) {
       Duration::ZERO
     } else {
       C::PATIENCE.saturating_sub(ANSWER_LATENCY_MAX)
     };
-    while let Some(parked) = self.parking.oldest(lane) {
-      let (first, flow) = parked;
+    while let Some(queued) = self.queue.oldest(lane) {
+      let (first, flow) = queued;
       if now < first + ttl {
         return;
       }
-      self.parking.remove(lane, parked);
-      let Some(opening) = self.parked(&flow).cloned() else {
+      self.queue.remove(lane, queued);
+      let Some(opening) = self.queued_opening(&flow).cloned() else {
         continue;
       };
       self.counter.count(Code::QueueFull);
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -24,12 +24,12 @@
 }
 
 /// Feeds the opening packet of a flow, which must be queued.
-fn park_at(balancer: &mut Balancer, flow: Flow) {
+fn enqueue_flow(balancer: &mut Balancer, flow: Flow) {
   assert_eq!(balancer.packet(Packet::open(flow, 0)), []);
 }
 
 /// Feeds a transmission of the opening packet of `flow(port, 1)`, which must be queued.
-fn park(balancer: &mut Balancer, port: u16, attempt: u32) {
+fn enqueue(balancer: &mut Balancer, port: u16, attempt: u32) {
   assert_eq!(balancer.packet(Packet::open(flow(port, 1), attempt)), []);
 }
 
@@ -53,7 +53,7 @@
 fn a_flow_is_queued_if_all_targets_are_too_busy() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   assert_eq!(
     without_backlog(balancer.pass(Duration::from_millis(300))),
     []
@@ -107,7 +107,7 @@
   let mut balancer = balancer();
   saturate(&mut balancer);
   for port in 1..=3 {
-    park(&mut balancer, port, 0);
+    enqueue(&mut balancer, port, 0);
     balancer.pass(Duration::from_millis(10));
   }
   tell(&mut balancer, 12, 1, busy(0));
@@ -124,10 +124,10 @@
   saturate(&mut balancer);
   assert_eq!(balancer.packet(Packet::open(flow(1, 3), 0)), []);
   balancer.pass(Duration::from_millis(10));
-  park(&mut balancer, 2, 0);
+  enqueue(&mut balancer, 2, 0);
   // A new flow is not placed while others are queued.
   tell(&mut balancer, 12, 1, busy(0));
-  park(&mut balancer, 3, 0);
+  enqueue(&mut balancer, 3, 0);
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(opened_flows(&sent), [flow(1, 3), flow(3, 1), flow(2, 1)]);
 }
@@ -140,8 +140,8 @@
   // With 4 slots and 40 ms, another request is answered after 130 ms of the 200 ms allowed.
   tell(&mut balancer, 11, 1, busy(12));
   tell(&mut balancer, 12, 1, busy(12));
-  park(&mut balancer, 1, 0);
-  park_at(&mut balancer, flow(2, 3));
+  enqueue(&mut balancer, 1, 0);
+  enqueue_flow(&mut balancer, flow(2, 3));
   assert_eq!(
     opened_flows(&balancer.pass(Duration::from_millis(5))),
     [flow(2, 3)]
@@ -167,11 +167,11 @@
 fn a_flow_that_is_queued_too_long_is_reset() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(200));
-  park(&mut balancer, 1, 1);
+  enqueue(&mut balancer, 1, 1);
   balancer.pass(Duration::from_millis(400));
-  park(&mut balancer, 1, 2);
+  enqueue(&mut balancer, 1, 2);
   // The caller gives up after 1.4 s, and an answer takes 20 ms to reach it.
   let sent = balancer.pass(Duration::from_millis(770));
   assert!(!is_reset(&sent, flow(1, 1), 0), "{sent:?}");
@@ -185,7 +185,7 @@
     let mut balancer = balancer();
     saturate(&mut balancer);
     for attempt in &attempts {
-      park(&mut balancer, 1, *attempt);
+      enqueue(&mut balancer, 1, *attempt);
     }
     for _ in 0..40 {
       let sent = balancer.pass(Duration::from_millis(50));
@@ -198,7 +198,7 @@
 fn fill_queue(balancer: &mut Balancer) {
   saturate(balancer);
   for port in 1001..=1280 {
-    park(balancer, port, 0);
+    enqueue(balancer, port, 0);
   }
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert!(is_reset(&sent, flow(1, 1), 0), "{sent:?}");
@@ -258,7 +258,7 @@
 fn a_queued_flow_that_another_balancer_opened_is_searched_for() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 1);
+  enqueue(&mut balancer, 1, 1);
   assert_eq!(search(&mut balancer), [11, 12]);
 }
 
@@ -266,7 +266,7 @@
 fn a_queued_flow_is_not_opened_after_its_route_is_removed() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   tell(&mut balancer, 12, 1, busy(0));
   assert_eq!(carried(&balancer.pass(Duration::from_millis(10))), []);
@@ -281,10 +281,10 @@
 fn a_new_flow_waits_for_a_grant_while_others_are_queued() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   // A status grants no slot: it may be out of date.
   tell(&mut balancer, 12, 1, busy(3));
-  park(&mut balancer, 2, 0);
+  enqueue(&mut balancer, 2, 0);
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
 }
 
@@ -293,7 +293,7 @@
   let mut balancer = balancer();
   saturate(&mut balancer);
   for port in 1..=3 {
-    park(&mut balancer, port, 0);
+    enqueue(&mut balancer, port, 0);
     balancer.pass(Duration::from_millis(80));
   }
   // Only the newest flow can still be answered within 200 ms.
@@ -309,10 +309,10 @@
 fn the_age_of_a_flow_follows_from_the_number_of_its_transmission() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(100));
   // The first transmission that comes here is the second, sent 200 ms after the first.
-  park(&mut balancer, 2, 1);
+  enqueue(&mut balancer, 2, 1);
   balancer.pass(Duration::from_millis(200));
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
   assert_eq!(grant(&mut balancer, 3), [flow(1, 1)]);
@@ -322,9 +322,9 @@
 fn flows_of_callers_that_may_have_given_up_are_sent_last() {
   let mut balancer = balancer();
   saturate(&mut balancer);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
   balancer.pass(Duration::from_millis(600));
-  park(&mut balancer, 2, 0);
+  enqueue(&mut balancer, 2, 0);
   // The first caller's last retransmission was due after 0.6 s, and 0.2 s later it may have given
   // up.
   balancer.pass(Duration::from_millis(300));
@@ -337,5 +337,5 @@
   let mut balancer = balancer();
   fill_queue(&mut balancer);
   balancer.frame(11, &Frame::Opened(flow(1001, 1), busy(24)), &[]);
-  park(&mut balancer, 1, 0);
+  enqueue(&mut balancer, 1, 0);
 }
