--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -20,7 +20,7 @@
     bytes: &[u8],
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.wake(now);
+    self.note_stall(now);
     let (frame, packet) = Frame::decode(bytes)?;
     match frame {
       Frame::AskPast => self.send_history(now, from, out),
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -35,7 +35,7 @@
 
 /// A timer that fires this late shows that the process was paused. Longer than the 50 ms for which
 /// received packets may delay a timer.
-const STILL: Duration = Duration::from_millis(150);
+const STALL: Duration = Duration::from_millis(150);
 
 /// How long the handover of a stopped agent is kept for its next incarnation.
 const HANDOVER_TTL: Duration = Duration::from_secs(30);
@@ -131,9 +131,9 @@
 
   /// Checks whether the process was paused. If it was, packets in its sockets may be old, and their
   /// callers may have retransmitted to other balancers meanwhile.
-  pub(super) fn wake(&mut self, now: Instant) {
+  pub(super) fn note_stall(&mut self, now: Instant) {
     let delay = now.saturating_duration_since(self.next_deadline());
-    if delay < STILL || !self.has_run {
+    if delay < STALL || !self.has_run {
       return;
     }
     if now >= self.stale_until {
@@ -172,7 +172,7 @@
 
   /// Runs all timers that are due.
   pub(super) fn look(&mut self, now: Instant, out: &mut Outbox) {
-    self.wake(now);
+    self.note_stall(now);
     self.has_run = true;
     while let Some((deadline, flow)) = self.opening_deadlines.first().copied() {
       if deadline > now {
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -22,7 +22,7 @@
     packet: &[u8],
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.wake(now);
+    self.note_stall(now);
     let head = self.codec.read_from_caller(packet)?;
     if self.spread.catalog().route(&head.flow.route).is_none() {
       return self.reject_unroutable(now, &head, out);
