--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -171,7 +171,7 @@
   }
 
   /// Runs all timers that are due.
-  pub(super) fn look(&mut self, now: Instant, out: &mut Outbox) {
+  pub(super) fn run_due(&mut self, now: Instant, out: &mut Outbox) {
     self.note_stall(now);
     self.has_run = true;
     while let Some((deadline, flow)) = self.opening_deadlines.first().copied() {
@@ -292,7 +292,7 @@
 
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
     let before = out.size();
-    self.look(now, out);
+    self.run_due(now, out);
     self.charge_link(now, before, out);
     self.drain_egress(now, out);
   }
