--- a/tests/datagram/balancer.rs
+++ b/tests/datagram/balancer.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{balancer, busy, carried, is_reset, tell},
+    balancing::{balancer, busy, carried, feed_status, is_reset},
     plain::Packet,
     support::{configured, flow, listed, news, unlisted},
   },
@@ -20,7 +20,7 @@
 #[test]
 fn a_flow_is_placed_on_the_target_with_the_shortest_wait() {
   let mut balancer = balancer();
-  tell(&mut balancer, 11, 1, busy(4));
+  feed_status(&mut balancer, 11, 1, busy(4));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
 }
@@ -31,7 +31,7 @@
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (place, _) = carried(&sent)[0];
   balancer.frame(place, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  tell(&mut balancer, place, 1, busy(9));
+  feed_status(&mut balancer, place, 1, busy(9));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_eq!(carried(&sent), [(place, Purpose::Deliver)]);
 }
@@ -151,7 +151,7 @@
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
   for host in [11, 12].into_iter().filter(|host| *host != first) {
-    tell(&mut balancer, host, 1, busy(24));
+    feed_status(&mut balancer, host, 1, busy(24));
   }
   let sent = balancer.pass(Duration::from_millis(41));
   assert!(!is_reset(&sent, flow(1, 1), 0), "{sent:?}");
@@ -160,8 +160,8 @@
 #[test]
 fn a_retransmitted_opening_packet_is_not_reset() {
   let mut balancer = balancer();
-  tell(&mut balancer, 11, 1, busy(24));
-  tell(&mut balancer, 12, 1, busy(24));
+  feed_status(&mut balancer, 11, 1, busy(24));
+  feed_status(&mut balancer, 12, 1, busy(24));
   let sent = balancer.packet(Packet::open(flow(1, 1), 1));
   assert!(!is_reset(&sent, flow(1, 1), 0), "{sent:?}");
 }
@@ -188,15 +188,15 @@
     ..Load::default()
   };
   for host in [11, 12, 13] {
-    tell(&mut balancer, host, 1, load(40, 3));
+    feed_status(&mut balancer, host, 1, load(40, 3));
   }
   // A target that fails everything at once never has any work.
-  tell(&mut balancer, 14, 1, load(1, 0));
+  feed_status(&mut balancer, 14, 1, load(1, 0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_matches!(carried(&sent)[..], [(11..=13, Purpose::Open)]);
   // It is still used if all others are full.
   for host in [11, 12, 13] {
-    tell(&mut balancer, host, 1, load(40, 30));
+    feed_status(&mut balancer, host, 1, load(40, 30));
   }
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), [(14, Purpose::Open)]);
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -36,13 +36,13 @@
   ];
   balancer.platform(news(None, 4, &records));
   for host in [11, 12, 21] {
-    tell(&mut balancer, host, 1, Load::default());
+    feed_status(&mut balancer, host, 1, Load::default());
   }
   balancer
 }
 
 /// Feeds the status of an agent's incarnation.
-pub fn tell(balancer: &mut Balancer, host: u8, incarnation: u32, load: Load) -> Vec<Sent> {
+pub fn feed_status(balancer: &mut Balancer, host: u8, incarnation: u32, load: Load) -> Vec<Sent> {
   let status = Frame::Status(Status {
     balancers: vec![],
     complete: Revision(1),
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/closures.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, busy, carried, is_reset, tell},
+    balancing::{Balancer, balancer, busy, carried, feed_status, is_reset},
     plain::Packet,
     support::{
       Agent, Sent, Stepped, agent, carry, closure, configured, digest, elsewhere, flow, listed,
@@ -98,7 +98,7 @@
   let mut balancer = balancer();
   let records = [elsewhere(5, "up-13", 13, "a")];
   balancer.platform(news(Some(4), 5, &records));
-  tell(&mut balancer, 13, 1, Load::default());
+  feed_status(&mut balancer, 13, 1, Load::default());
   balancer
 }
 
@@ -117,7 +117,7 @@
   for port in 2..20 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert_eq!(carried(&sent), [(13, Purpose::Open)]);
-    tell(&mut balancer, 13, 1, Load::default());
+    feed_status(&mut balancer, 13, 1, Load::default());
   }
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_eq!(carried(&sent), [(place, Purpose::Deliver)]);
@@ -130,13 +130,13 @@
 fn a_flow_that_waits_goes_to_another_data_centre_once_its_own_is_closed() {
   let mut balancer = with_another();
   for host in [11, 12, 13] {
-    tell(&mut balancer, host, 1, busy(40));
+    feed_status(&mut balancer, host, 1, busy(40));
   }
   assert_eq!(carried(&balancer.packet(Packet::open(flow(1, 1), 0))), []);
   close(&mut balancer, 5, HERE, true);
-  tell(&mut balancer, 11, 1, Load::default());
+  feed_status(&mut balancer, 11, 1, Load::default());
   assert_eq!(carried(&balancer.pass(Duration::from_millis(6))), []);
-  tell(&mut balancer, 13, 1, Load::default());
+  feed_status(&mut balancer, 13, 1, Load::default());
   let sent = balancer.pass(Duration::from_millis(6));
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
 }
@@ -145,7 +145,7 @@
 fn callers_are_told_at_once_where_all_targets_are_closed() {
   let mut balancer = with_another();
   for host in [11, 12, 13] {
-    tell(&mut balancer, host, 1, busy(40));
+    feed_status(&mut balancer, host, 1, busy(40));
   }
   // One waits already, one comes.
   balancer.packet(Packet::open(flow(1, 1), 0));
@@ -169,7 +169,7 @@
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
   // The word does not outlast the list's by long.
   balancer.now += Duration::from_millis(1100);
-  tell(&mut balancer, 11, 1, Load::default());
+  feed_status(&mut balancer, 11, 1, Load::default());
   let sent = balancer.packet(Packet::open(flow(3, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
 }
@@ -187,7 +187,7 @@
   balancer.pass(age);
   close(&mut balancer, 3, HERE, true);
   for host in [11, 13] {
-    tell(&mut balancer, host, 1, Load::default());
+    feed_status(&mut balancer, host, 1, Load::default());
   }
   balancer
 }
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, carried, is_reset, tell},
+    balancing::{Balancer, balancer, carried, feed_status, is_reset},
     plain::Packet,
     support::{
       Agent, Sent, Stepped, carry, closure, configured_cold, digest, flow, news, peer, warming,
@@ -210,15 +210,15 @@
 #[test]
 fn a_balancer_sends_a_cold_target_no_more_flows_than_it_has_room_for() {
   let mut balancer = balancer_with_limit();
-  tell(&mut balancer, 11, 1, room(1));
-  tell(&mut balancer, 12, 1, room(1));
+  feed_status(&mut balancer, 11, 1, room(1));
+  feed_status(&mut balancer, 12, 1, room(1));
   let mut opened = (1..=3)
     .flat_map(|port| carried(&balancer.packet(Packet::open(flow(port, 1), 0))))
     .collect::<Vec<_>>();
   opened.sort_by_key(|(host, _)| *host);
   assert_eq!(opened, [(11, Purpose::Open), (12, Purpose::Open)]);
   // The third is queued until there is room.
-  tell(&mut balancer, 12, 1, room(1));
+  feed_status(&mut balancer, 12, 1, room(1));
   let sent = balancer.pass(Duration::from_millis(6));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
 }
@@ -226,8 +226,8 @@
 #[test]
 fn flows_that_cold_targets_cannot_take_in_time_are_reset_at_once() {
   let mut balancer = balancer_with_limit();
-  tell(&mut balancer, 11, 1, room(0));
-  tell(&mut balancer, 12, 1, room(0));
+  feed_status(&mut balancer, 11, 1, room(0));
+  feed_status(&mut balancer, 12, 1, room(0));
   // Two targets take 24 flows a second, and callers wait for little more than one second.
   let reset = (1..=60)
     .filter(|port| {
--- a/tests/datagram/failing.rs
+++ b/tests/datagram/failing.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, carried, tell},
+    balancing::{Balancer, balancer, carried, feed_status},
     plain::Packet,
     support::{Agent, agent, carry, flow, listed, news},
   },
@@ -103,7 +103,7 @@
   let record = listed(5, "up-13", 13, "a", Presence::Live);
   balancer.platform(news(Some(4), 5, &[record]));
   for (host, (failed, work)) in (11..).zip(failed.into_iter().zip(work)) {
-    tell(&mut balancer, host, 1, load_of(failed, work));
+    feed_status(&mut balancer, host, 1, load_of(failed, work));
   }
   balancer
 }
--- a/tests/datagram/grants.rs
+++ b/tests/datagram/grants.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, busy, carried, tell},
+    balancing::{Balancer, balancer, busy, carried, feed_status},
     plain::Packet,
     support::{Agent, Sent, agent, carry, configured, digest, flow, listed, news, peer},
   },
@@ -163,7 +163,7 @@
 fn balancer_with_queued_flow() -> Balancer {
   let mut balancer = balancer();
   for host in [11, 12] {
-    tell(&mut balancer, host, 1, busy(24));
+    feed_status(&mut balancer, host, 1, busy(24));
   }
   assert_eq!(balancer.packet(Packet::open(flow(1, 1), 0)), []);
   balancer
@@ -227,9 +227,9 @@
     work,
     ..Load::default()
   };
-  tell(&mut balancer, 11, 1, load(40, 24));
-  tell(&mut balancer, 12, 1, load(40, 24));
-  tell(&mut balancer, 13, 1, load(1, 600));
+  feed_status(&mut balancer, 11, 1, load(40, 24));
+  feed_status(&mut balancer, 12, 1, load(40, 24));
+  feed_status(&mut balancer, 13, 1, load(1, 600));
   assert_eq!(balancer.packet(Packet::open(flow(1, 1), 0)), []);
   // It fails each request at once, so that it always has free slots.
   let sent = balancer.frame(13, &Frame::Grant(load(1, 0)), &[]);
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{absent, is_reset, search, tell as tell_load},
+    balancing::{absent, feed_status as tell_load, is_reset, search},
     support::{Stepped, flow, listed, news, settings, unlisted},
   },
   fallwell::{
@@ -41,7 +41,13 @@
   })
 }
 
-fn tell(machine: &mut impl Machine, now: Instant, from: u32, frame: &Frame, out: &mut Outbox) {
+fn feed_status(
+  machine: &mut impl Machine,
+  now: Instant,
+  from: u32,
+  frame: &Frame,
+  out: &mut Outbox,
+) {
   let mut bytes = Vec::new();
   frame.encode(&mut bytes);
   let from = address(from);
@@ -78,7 +84,7 @@
   machine.step(now, known, &mut out);
   for step in 0..80 {
     for number in 1..=balancers {
-      tell(
+      feed_status(
         &mut machine,
         now,
         number,
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -3,7 +3,9 @@
 
 use {
   crate::{
-    balancing::{absent, balancer, carried, feed_balancer_status, is_reset, queried, search, tell},
+    balancing::{
+      absent, balancer, carried, feed_balancer_status, feed_status, is_reset, queried, search,
+    },
     plain::Packet,
     support::{Sent, flow, found, news, peer, unlisted, upstream},
   },
@@ -111,7 +113,7 @@
 #[test]
 fn an_unlisted_agent_may_own_a_flow_that_others_deny() {
   let mut balancer = balancer();
-  tell(&mut balancer, 13, 1, Load::default());
+  feed_status(&mut balancer, 13, 1, Load::default());
   let mut queried = search(&mut balancer);
   queried.sort_unstable();
   assert_eq!(queried, [11, 12]);
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, carried, tell},
+    balancing::{Balancer, balancer, carried, feed_status},
     plain::Packet,
     support::{Sent, flow, found, peer},
   },
@@ -16,7 +16,7 @@
 fn an_agent_that_has_restarted_is_sent_its_flows() {
   let mut balancer = balancer();
   balancer.frame(11, &found(flow(1, 1)), &[]);
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
     [Sent::Frame(to, Frame::Held { flows }, _)]
@@ -42,7 +42,7 @@
   };
   balancer.frame(11, &frame, &[]);
   balancer.pass(Duration::from_secs(6));
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Handover { parts: 0, .. }, _)]
@@ -61,7 +61,7 @@
     balancer.frame(11, &frame, &[]);
     balancer.pass(Duration::from_secs(2));
   }
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Handover { parts: 0, .. }, _)]
@@ -90,7 +90,7 @@
   // A retransmission is not buffered as well.
   assert_eq!(balancer.packet(packet), []);
   balancer.pass(Duration::from_millis(300));
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
   let is_handover = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Handover { .. }, _));
   let first = sent.iter().position(is_handover).expect("a handover");
@@ -123,7 +123,7 @@
     };
     balancer.frame(11, &frame, &[]);
   }
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   let is_whole = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Handover { parts: 2, .. }, _));
   assert_eq!(sent.iter().filter(is_whole).count(), 2, "{sent:?}");
 }
@@ -137,7 +137,7 @@
     parts: 2,
   };
   balancer.frame(11, &frame, &[]);
-  let sent = tell(&mut balancer, 11, 2, Load::default());
+  let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Handover { parts: 0, .. }, _)]
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, absent, balancer, carried, is_reset, queried, search, tell},
+    balancing::{Balancer, absent, balancer, carried, feed_status, is_reset, queried, search},
     plain::Packet,
     support::{
       Sent, Stepped, configured, elsewhere, flow, found, listed, news, peer, unlisted, unsure,
@@ -207,7 +207,7 @@
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
   balancer.pass(Duration::from_millis(10));
-  tell(&mut balancer, 12, 2, Load::default());
+  feed_status(&mut balancer, 12, 2, Load::default());
   assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [12]);
 }
 
@@ -262,7 +262,7 @@
   let mut balancer = balancer();
   balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
   balancer.pass(Duration::from_secs(3));
-  tell(&mut balancer, 12, 1, Load::default());
+  feed_status(&mut balancer, 12, 1, Load::default());
   search(&mut balancer);
   let sent = balancer.frame(11, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
--- a/tests/datagram/sharing.rs
+++ b/tests/datagram/sharing.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{Balancer, carried, tell},
+    balancing::{Balancer, carried, feed_status},
     plain::Packet,
     support::{Stepped, configured, flow, listed, news},
   },
@@ -28,7 +28,7 @@
   let records = [configured(1, 1, &[(1, "a")])].into_iter().chain(listed);
   balancer.platform(news(None, 300, &records.collect::<Vec<_>>()));
   for host in hosts {
-    tell(&mut balancer, host, 1, load(host));
+    feed_status(&mut balancer, host, 1, load(host));
   }
   balancer
 }
@@ -45,7 +45,7 @@
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     let (host, _) = carried(&sent)[0];
     *shares.entry(host).or_default() += 1;
-    tell(balancer, host, 1, load(host));
+    feed_status(balancer, host, 1, load(host));
   }
 }
 
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -3,7 +3,7 @@
 
 use {
   crate::{
-    balancing::{balancer, carried, is_reset, search, tell},
+    balancing::{balancer, carried, feed_status, is_reset, search},
     plain::{Kind, Packet},
     support::{Agent, Sent, agent, carry, flow, found, listed, news, upstream},
   },
@@ -181,12 +181,12 @@
     work: 3,
     ..Load::default()
   };
-  tell(&mut balancer, 12, 1, busy);
+  feed_status(&mut balancer, 12, 1, busy);
   let down = Load {
     down: true,
     ..Load::default()
   };
-  tell(&mut balancer, 11, 1, down);
+  feed_status(&mut balancer, 11, 1, down);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
   balancer.platform(news(Some(5), 6, &[incarnation(6, "up-11", 11, 200)]));
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -2,7 +2,9 @@
 
 use {
   crate::{
-    balancing::{Balancer, balancer, busy, carried, is_reset, search, tell, without_backlog},
+    balancing::{
+      Balancer, balancer, busy, carried, feed_status, is_reset, search, without_backlog,
+    },
     plain::Packet,
     support::{Sent, Stepped, configured, configured_first, elsewhere, flow, listed, news},
   },
@@ -19,8 +21,8 @@
 
 /// Makes both targets so busy that a new flow would wait too long.
 fn saturate(balancer: &mut Balancer) {
-  tell(balancer, 11, 1, busy(24));
-  tell(balancer, 12, 1, busy(24));
+  feed_status(balancer, 11, 1, busy(24));
+  feed_status(balancer, 12, 1, busy(24));
 }
 
 /// Feeds the opening packet of a flow, which must be queued.
@@ -58,7 +60,7 @@
     without_backlog(balancer.pass(Duration::from_millis(300))),
     []
   );
-  tell(&mut balancer, 12, 1, busy(1));
+  feed_status(&mut balancer, 12, 1, busy(1));
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
 }
@@ -74,9 +76,9 @@
     ..Load::default()
   };
   for host in [11, 12] {
-    tell(&mut balancer, host, 1, large(6));
+    feed_status(&mut balancer, host, 1, large(6));
   }
-  tell(&mut balancer, 13, 1, large(0));
+  feed_status(&mut balancer, 13, 1, large(0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
   saturate(&mut balancer);
@@ -97,7 +99,7 @@
     without_backlog(balancer.pass(Duration::from_millis(100))),
     []
   );
-  tell(&mut balancer, first, 1, busy(0));
+  feed_status(&mut balancer, first, 1, busy(0));
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(carried(&sent), [(first, Purpose::Open)]);
 }
@@ -110,7 +112,7 @@
     enqueue(&mut balancer, port, 0);
     balancer.pass(Duration::from_millis(10));
   }
-  tell(&mut balancer, 12, 1, busy(0));
+  feed_status(&mut balancer, 12, 1, busy(0));
   let sent = balancer.pass(Duration::from_millis(10));
   let newest_first = [flow(3, 1), flow(2, 1), flow(1, 1)];
   assert_eq!(opened_flows(&sent), newest_first);
@@ -126,7 +128,7 @@
   balancer.pass(Duration::from_millis(10));
   enqueue(&mut balancer, 2, 0);
   // A new flow is not placed while others are queued.
-  tell(&mut balancer, 12, 1, busy(0));
+  feed_status(&mut balancer, 12, 1, busy(0));
   enqueue(&mut balancer, 3, 0);
   let sent = balancer.pass(Duration::from_millis(10));
   assert_eq!(opened_flows(&sent), [flow(1, 3), flow(3, 1), flow(2, 1)]);
@@ -138,8 +140,8 @@
   let routes = [(1, "a"), (2, "b"), (3, "a")];
   balancer.platform(news(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
   // With 4 slots and 40 ms, another request is answered after 130 ms of the 200 ms allowed.
-  tell(&mut balancer, 11, 1, busy(12));
-  tell(&mut balancer, 12, 1, busy(12));
+  feed_status(&mut balancer, 11, 1, busy(12));
+  feed_status(&mut balancer, 12, 1, busy(12));
   enqueue(&mut balancer, 1, 0);
   enqueue_flow(&mut balancer, flow(2, 3));
   assert_eq!(
@@ -268,7 +270,7 @@
   saturate(&mut balancer);
   enqueue(&mut balancer, 1, 0);
   balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
-  tell(&mut balancer, 12, 1, busy(0));
+  feed_status(&mut balancer, 12, 1, busy(0));
   assert_eq!(carried(&balancer.pass(Duration::from_millis(10))), []);
 }
 
@@ -283,7 +285,7 @@
   saturate(&mut balancer);
   enqueue(&mut balancer, 1, 0);
   // A status grants no slot: it may be out of date.
-  tell(&mut balancer, 12, 1, busy(3));
+  feed_status(&mut balancer, 12, 1, busy(3));
   enqueue(&mut balancer, 2, 0);
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
 }
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -4,7 +4,8 @@
 use {
   crate::{
     balancing::{
-      Balancer, absent, balancer, carried, feed_balancer_status, is_reset, queried, search, tell,
+      Balancer, absent, balancer, carried, feed_balancer_status, feed_status, is_reset, queried,
+      search,
     },
     plain::Packet,
     support::{
@@ -135,8 +136,8 @@
   for port in 1..60 {
     let flow = flow(port, 1);
     for host in [11, 12, 21] {
-      tell(&mut one, host, 1, Load::default());
-      tell(&mut other, host, 1, Load::default());
+      feed_status(&mut one, host, 1, Load::default());
+      feed_status(&mut other, host, 1, Load::default());
     }
     let hosts = (open_flow(&mut one, flow), open_flow(&mut other, flow));
     assert_eq!(at_b(hosts.0), at_b(hosts.1), "{hosts:?}");
@@ -149,7 +150,7 @@
   balancer.platform(news(Some(5), 6, &[unlisted(6, "up-21")]));
   balancer.pass(Duration::from_secs(3));
   for host in [11, 12] {
-    tell(&mut balancer, host, 1, Load::default());
+    feed_status(&mut balancer, host, 1, Load::default());
   }
   for port in 1..20 {
     assert_ne!(open_flow(&mut balancer, flow(port, 1)), 21);
@@ -249,7 +250,7 @@
   balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
   balancer.pass(Duration::from_secs(80));
   for host in [11, 12, 21] {
-    tell(&mut balancer, host, 1, Load::default());
+    feed_status(&mut balancer, host, 1, Load::default());
   }
   let mut all = search(&mut balancer);
   all.extend(queried(&balancer.pass(Duration::from_millis(50))));
