--- a/src/datagram/balancer/announced.rs
+++ b/src/datagram/balancer/announced.rs
@@ -19,8 +19,8 @@
   /// Whether agents are due to be sent a queue length, which then counts as sent: the last one is
   /// old, or the queue has since doubled or halved.
   pub fn is_due(&mut self, now: Instant, service: &Service, flows: usize) -> bool {
-    let sent = self.services.get(service);
-    let due = sent.is_none_or(|(at, sent)| {
+    let last = self.services.get(service);
+    let due = last.is_none_or(|(at, sent)| {
       let is_old = now.saturating_duration_since(*at) >= RENEWAL_INTERVAL;
       is_old || flows >= 2 * sent || 2 * flows <= *sent
     });
--- a/src/datagram/balancer/choosing.rs
+++ b/src/datagram/balancer/choosing.rs
@@ -32,8 +32,8 @@
 
 impl Targets {
   /// The target of the lowest cost for a new flow; local ones cost less than remote ones. If a
-  /// request there would wait longer than `limit_ms`, any target with a shorter wait is preferred.
-  /// None if no target accepts new flows.
+  /// request there would not be answered within `limit_ms`, the best target where it would is
+  /// preferred. None if no target accepts new flows.
   pub fn choose(
     &self,
     now: Instant,
@@ -60,7 +60,7 @@
     })
   }
 
-  /// One of the targets of the lowest cost, among those where a request waits no longer than
+  /// One of the targets of the lowest cost, among those where a request would be answered within
   /// `limit_ms`. Equivalent targets are ranked by a hash of the flow.
   fn best(
     &self,
@@ -114,8 +114,8 @@
   /// The agents of a service's targets that are likely to answer.
   pub fn serving(&self, now: Instant, service: &Service) -> Vec<SocketAddrV4> {
     let agents = self.services.get(service).into_iter().flatten().copied();
-    let listed = agents.filter(|agent| self.service(*agent) == Some(service));
-    listed.filter(|agent| self.serves(now, *agent)).collect()
+    let agents = agents.filter(|agent| self.service(*agent) == Some(service));
+    agents.filter(|agent| self.serves(now, *agent)).collect()
   }
 
   /// Whether a target is likely to answer: it is listed and alive, opens flows and does not fail
--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -11,10 +11,11 @@
 };
 
 /// How long a target is avoided after a flow failed to open there. Then it is tried again; if it
-/// does not answer within `open_wait`, the packet is sent to another target.
+/// does not answer before the timeout, the packet is sent to another target.
 const FAILURE_TTL: Duration = Duration::from_secs(1);
 
-/// The cost of a certain failure, in milliseconds: longer than callers find an answer useful.
+/// The cost of a target that fails all requests, in milliseconds: longer than an answer is useful to
+/// callers.
 const FAILURE_COST_MS: f64 = 400.0;
 
 /// How far a target's failures must exceed the median of its service to raise its cost, in
@@ -41,15 +42,15 @@
 /// Medians of the targets of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Medians {
-  /// The median of the requests that fail, in percent.
+  /// The median of the fractions of requests that fail, in percent.
   failed_percent: u8,
   /// The median of the service times, in milliseconds; 0 if too few are known.
   service_ms: f64,
 }
 
 impl Medians {
-  /// The service time of a target in milliseconds: as measured, or else the median. A default value
-  /// would starve new targets wherever the others are faster.
+  /// The service time of a target in milliseconds: as measured, or else the median; 0 if both are
+  /// unknown. A default value would starve new targets wherever the others are faster.
   fn time_ms(&self, target: &TargetState) -> f64 {
     if target.load.service_ms > 0 {
       f64::from(target.load.service_ms)
