--- a/src/datagram/balancer/egress.rs
+++ b/src/datagram/balancer/egress.rs
@@ -19,7 +19,7 @@
 const LARGE_BYTES: u16 = 512;
 
 /// The capacity of the queue, as sending time: after this, callers have retransmitted.
-const CAPACITY: Duration = Duration::from_millis(1500);
+const QUEUE_CAPACITY: Duration = Duration::from_millis(1500);
 
 /// A caller's packet in the queue.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
 
   /// Whether a packet has to be queued now.
   pub fn must_queue(&mut self, now: Instant, head: &Head) -> bool {
-    self.is_paced(head) && (!self.queue.is_empty() || !self.has_capacity(now))
+    self.is_paced(head) && (!self.queue.is_empty() || !self.has_link_capacity(now))
   }
 
   /// Whether packets of this kind are queued while the link is busy.
@@ -91,7 +91,7 @@
   /// Queues a packet; false if the queue is full. A retransmission of a queued packet is dropped
   /// and counts as queued.
   pub fn push(&mut self, head: Head, packet: &[u8]) -> bool {
-    let capacity = self.rate.map_or(0.0, |rate| rate.bytes_in(CAPACITY));
+    let capacity = self.rate.map_or(0.0, |rate| rate.bytes_in(QUEUE_CAPACITY));
     let key = (head.flow, head.sequence);
     if self.queued.contains(&key) {
       return true;
@@ -108,7 +108,7 @@
 
   /// Takes the next packet off the queue; none if the link is busy or the queue is empty.
   pub fn pop(&mut self, now: Instant) -> Option<QueuedPacket> {
-    if !self.has_capacity(now) {
+    if !self.has_link_capacity(now) {
       return None;
     }
     let next = self.queue.pop_front()?;
@@ -117,7 +117,7 @@
     Some(next)
   }
 
-  fn has_capacity(&mut self, now: Instant) -> bool {
+  fn has_link_capacity(&mut self, now: Instant) -> bool {
     self.update(now);
     self
       .rate
