--- a/src/datagram/balancer/ending.rs
+++ b/src/datagram/balancer/ending.rs
@@ -12,12 +12,12 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// The service of lost flows, which belong to none.
+/// Placeholder for the service of a lost flow.
 const NO_SERVICE: Digest = Digest(0);
 
 impl<C: Codec> Machine<C> {
-  /// Resets flows that an agent's upstream has lost. No other agent can own them, so that no search
-  /// is needed.
+  /// Resets flows that an agent's upstream has lost, except those that are known to be at another
+  /// agent. No search is needed: the agent is certain that it owned them.
   pub(super) fn reset_lost_flows(
     &mut self,
     now: Instant,
@@ -37,11 +37,11 @@
       let acknowledges = returned.map(|head| head.acknowledges).or(from_search);
       log::info!(
         flow:% = flow, from:% = from;
-        "balancer: flow is lost by its upstream and is reset."
+        "balancer: upstream has lost the flow."
       );
       match acknowledges {
         Some(acknowledges) => self.mark_dead(now, *flow, acknowledges, out),
-        // The caller's next packet starts a search.
+        // A reset needs what the caller last acknowledged. The next packet starts a search.
         None => {
           self.flows.remove(flow);
         }
@@ -49,7 +49,7 @@
     }
   }
 
-  /// Marks a flow as lost and resets it now and at each further packet.
+  /// Resets a lost flow, and marks it as dead so that each further packet is answered by a reset.
   pub(super) fn mark_dead(
     &mut self,
     now: Instant,
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -42,7 +42,7 @@
     Ok(())
   }
 
-  /// Sends a packet of an open flow to the agent that owns it, or searches for that.
+  /// Sends a packet of an open flow to the agent that owns it, or searches for that agent.
   pub(super) fn forward(&mut self, now: Instant, head: &Head, packet: &[u8], out: &mut Outbox) {
     match self.flows.get_mut(&head.flow) {
       Some(place) if matches!(place.state, State::Dead) => {
@@ -55,7 +55,8 @@
         self.search(now, head, packet, None);
       }
       Some(place) => {
-        // The caller was answered. If another agent owns the flow, this one says so.
+        // The caller has received an answer, so that the flow is open. If another agent owns it, this
+        // one denies it.
         place.state = State::Open;
         place.last_packet = now;
         let (agent, service) = (place.agent, place.service);
@@ -79,8 +80,9 @@
     }
   }
 
-  /// Rejects a packet whose address has no route. A new flow is reset at once, unless its route may
-  /// merely not be known here yet. An open flow is never reset: its route may come back.
+  /// Rejects a packet whose address has no route. The first transmission of an opening packet is
+  /// answered by a reset, unless the route may merely not be known here yet. An open flow is never
+  /// reset: its route may come back.
   pub(super) fn reject_unroutable(
     &mut self,
     now: Instant,
--- a/src/datagram/balancer/place.rs
+++ b/src/datagram/balancer/place.rs
@@ -8,7 +8,7 @@
 /// The agents that an opening packet was sent to.
 pub type Tried = SmallVec<[SocketAddrV4; 4]>;
 
-/// The place of a flow.
+/// Where a flow is, and how far it has got.
 #[derive(Clone, Debug)]
 pub struct Place {
   /// The address of the agent that owns it or was sent its opening packet; the balancer's own if
@@ -45,7 +45,8 @@
 /// An opening packet that no target has accepted yet.
 #[derive(Clone, Debug)]
 pub struct Opening {
-  /// The number of the caller's last transmission of the packet that came here; 0 is the first.
+  /// The number of the caller's last transmission of the packet that came here, which
+  /// `Head::acknowledges` gives; 0 is the first.
   pub attempt: u32,
   /// When the next target is tried.
   pub deadline: Instant,
