--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -18,7 +18,9 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// Sends an opening packet to a target, or again to the one that a retransmission belongs to.
+  /// Handles an opening packet: places a new flow, or sends a retransmission to the target that was
+  /// sent the packet before. If that target has timed out or the address was routed to another
+  /// service, the flow is placed again. If the flow is queued, it stays in the queue.
   pub(super) fn open(
     &mut self,
     now: Instant,
@@ -94,8 +96,8 @@
     self.place_at(now, flow, &service, opening, out)
   }
 
-  /// Sends an opening packet to the best target of a service that it was not sent to yet. Starts
-  /// over with all of them if there is none left.
+  /// Sends an opening packet to the best target of a service that it was not sent to yet, or queues
+  /// it. Starts over with all of them if there is none left.
   fn place_at(
     &mut self,
     now: Instant,
@@ -119,8 +121,8 @@
       }
       return Err(Code::PacketUnroutable);
     };
-    // Known loads are out of date while flows are queued, and targets would refuse: new flows wait
-    // for granted slots then.
+    // While flows are queued, known loads are out of date, and targets would refuse a new flow: it
+    // joins the queue.
     if self.queue.has_flows(service) || self.is_too_long(&flow, service, choice.wait_ms) {
       return self.enqueue(now, flow, service, opening, Some(choice), out);
     }
@@ -173,14 +175,14 @@
     weight.unwrap_or_default()
   }
 
-  /// Whether a new flow would wait so long for its answer that it is refused at once instead of
-  /// delaying others.
+  /// Whether a new flow would wait so long for its answer that it is queued instead of being sent to
+  /// the target.
   pub(super) fn is_too_long(&self, flow: &Flow, service: &Service, wait_ms: f64) -> bool {
     wait_ms > self.limit_ms(flow, service)
   }
 
   /// The longest that a new flow may wait for its answer, in milliseconds; longer if the service
-  /// also has routes of a lower priority, so that those are refused first.
+  /// also has routes of a lower priority, so that flows of those are queued first.
   fn limit_ms(&self, flow: &Flow, service: &Service) -> f64 {
     let Some(route) = self.spread.catalog().route(&flow.route) else {
       return f64::MAX;
@@ -214,9 +216,9 @@
     self.targets.choose(now, flow, service, tried, limit_ms)
   }
 
-  /// Sends an opening packet to the next target. `answered`: the last one has refused it, so that
-  /// it certainly did not open the flow.
-  pub(super) fn place_next(&mut self, now: Instant, flow: Flow, answered: bool, out: &mut Outbox) {
+  /// Sends an opening packet to the next target. `refused`: the last one has refused it, so that it
+  /// certainly did not open the flow; the packet is then queued if no target is left.
+  pub(super) fn place_next(&mut self, now: Instant, flow: Flow, refused: bool, out: &mut Outbox) {
     let Some(Place {
       state: State::Opening(opening),
       ..
@@ -228,11 +230,11 @@
       return;
     };
     let mut opening = opening.clone();
-    opening.may_be_open |= !answered;
+    opening.may_be_open |= !refused;
     let next = self.choose(now, &flow, &service, &opening.tried);
     if opening.tried.len() >= TARGETS_MAX || next.is_none() {
       // If targets do not answer, the caller's next retransmission is placed anew.
-      if answered && let Err(code) = self.enqueue(now, flow, &service, opening, next, out) {
+      if refused && let Err(code) = self.enqueue(now, flow, &service, opening, next, out) {
         self.counter.count(code);
       }
       return;
@@ -310,7 +312,8 @@
     }
   }
 
-  /// Sends an opening packet to the next target, unless it was answered or sent again meanwhile.
+  /// Sends an opening packet to the next target, unless it was answered or sent to another target
+  /// meanwhile.
   pub(super) fn time_out_opening(
     &mut self,
     now: Instant,
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -66,11 +66,12 @@
     self.targets.rate(now, service) * C::PATIENCE.as_secs_f64()
   }
 
-  /// Removes a flow that no target has opened, as far as this balancer knows. It is reset unless a
-  /// transmission that did not come here may have opened it through another balancer.
+  /// Removes a flow that no target has opened, as far as this balancer knows. It is reset unless it
+  /// may be open: at a target that did not answer, or through another balancer that received a
+  /// transmission.
   pub(super) fn give_up(&mut self, now: Instant, flow: &Flow, opening: &Opening, out: &mut Outbox) {
     let age = now.saturating_duration_since(opening.received);
-    // Half of the interval allows for the time that packets take.
+    // The packet may have taken up to half of the interval to get here.
     let may_be_missing = opening.attempt + 1 < C::COPIES && age >= C::GAP / 2;
     let is_reset = !opening.may_be_open && !may_be_missing;
     log::info!(
@@ -109,7 +110,7 @@
 
   /// The flow of a lane to be sent to a target first: the newest if it is answered in time there.
   /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting,
-  /// if there is one.
+  /// or else the newest.
   fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Queued> {
     let newest = self.queue.newest(lane)?;
     if self.is_in_time(now, newest, choice) {
@@ -160,7 +161,8 @@
     true
   }
 
-  /// Uses a slot that an agent has reserved for a queued flow, or returns it if there is none.
+  /// Uses a slot that an agent has reserved for a queued flow, or returns it if it cannot be
+  /// used.
   pub(super) fn accept_grant(
     &mut self,
     now: Instant,
