--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -27,7 +27,9 @@
       Frame::Absent {
         flows, lost: true, ..
       } => self.reset_lost_flows(now, from, &flows, packet, out),
-      Frame::Absent { flows, known, .. } => self.deny_flows(now, from, &flows, &known, packet, out),
+      Frame::Absent { flows, known, .. } => {
+        self.record_denials(now, from, &flows, &known, packet, out);
+      }
       Frame::Ask { .. }
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
@@ -95,7 +97,7 @@
   pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
     if change.closures {
       let listed = self.spread.catalog().closures();
-      let from = now + self.spread.closing_left().mul_f64(self.evacuation_part);
+      let from = now + self.spread.closing_left().mul_f64(self.evacuation_fraction);
       self.targets.closures.update(listed, from);
     }
     if !change.is_empty() {
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -28,7 +28,7 @@
   },
 };
 
-/// How many targets one transmission of an opening packet is sent to, one after another.
+/// At most how many targets a transmission of an opening packet is sent to, one after another.
 pub(super) const TARGETS_MAX: usize = 4;
 
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
@@ -53,7 +53,7 @@
   /// The fraction of the evacuation period after which this balancer sends no more new flows to a
   /// closed data centre. It differs between balancers, so that the other data centres don't get all
   /// the load at once.
-  pub(super) evacuation_part: f64,
+  pub(super) evacuation_fraction: f64,
   pub(super) flows: HashMap<Flow, Place>,
   /// Flows of agents that have stopped gracefully, by agent.
   pub(super) handovers: HashMap<SocketAddrV4, Handover>,
@@ -101,7 +101,7 @@
       counter,
       denied: BTreeSet::new(),
       egress: Egress::new(now, settings.link),
-      evacuation_part: f64::from(incarnation % 1000) / 1000.0,
+      evacuation_fraction: f64::from(incarnation % 1000) / 1000.0,
       flows: HashMap::new(),
       handovers: HashMap::new(),
       has_run: false,
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -93,8 +93,8 @@
     self.packets.iter().map(Vec::len).sum()
   }
 
-  /// Schedules the next round of queries, after `first` times a power of two; false if there were
-  /// enough.
+  /// Schedules the next round of queries, after `first` times a power of two; false if no retry is
+  /// left.
   pub fn schedule_retry(&mut self, now: Instant, first: Duration) -> bool {
     if self.retries >= RETRIES_MAX {
       return false;
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -73,7 +73,7 @@
 
   /// Records that an agent does not own some flows. A `packet` that it returned is searched for
   /// elsewhere.
-  pub(super) fn deny_flows(
+  pub(super) fn record_denials(
     &mut self,
     now: Instant,
     from: SocketAddrV4,
@@ -86,9 +86,9 @@
     self.add_removed_targets(now, from, flows, known);
     for flow in flows {
       let place = self.flows.get(flow);
-      let is_here =
+      let was_at_sender =
         place.is_some_and(|place| place.agent == from && !matches!(place.state, State::Dead));
-      if is_here {
+      if was_at_sender {
         self.flows.remove(flow);
       }
       if let Some(search) = self.searches.get_mut(flow) {
@@ -162,8 +162,8 @@
     }
   }
 
-  /// Queries the agents that were not queried yet, in all data centres. If all have denied the
-  /// flow, it is lost and is reset.
+  /// Queries the agents that were not queried yet, in all data centres. If all have denied the flow,
+  /// it is lost and is reset, unless this process may not know all targets yet.
   fn query_rest(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     let Some(search) = self.searches.get_mut(&flow) else {
       return;
@@ -173,14 +173,14 @@
     let holders = self.targets.holders(&services);
     // Agents that have become known meanwhile are included.
     let (new, acknowledges) = (search.add_queried(holders), search.acknowledges);
-    let known = self.spread.catalog().complete() >= search.required_revision;
+    let is_up_to_date = self.spread.catalog().complete() >= search.required_revision;
     if !search.pending.is_empty() {
       self.query(now, flow, acknowledges, &new);
       self.test_unsure(now, flow, out);
       return;
     }
     let queried = search.queried.len();
-    if !known || !self.is_history_complete(now) {
+    if !is_up_to_date || !self.is_history_complete(now) {
       self.denied.insert(flow);
       return;
     }
@@ -268,7 +268,7 @@
     self.query(now, flow, acknowledges, &pending);
   }
 
-  /// Queries an agent that has restarted about all flows that its answer is missing for.
+  /// Queries an agent that has restarted about all flows for which its answer is missing.
   pub(super) fn query_restarted(&mut self, now: Instant, agent: SocketAddrV4) {
     let searches = self.searches.iter_mut();
     let affected = searches.filter(|(_, search)| search.pending.contains(&agent));
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -14,7 +14,7 @@
 };
 
 /// How often a flow is tested while agents that may own it have not answered: about once in its
-/// life, since an agent behind a congested link may not answer for long.
+/// life, since an agent behind a congested link may not answer for a long time.
 pub(super) const TEST_EVERY: Duration = Duration::from_mins(1);
 
 impl<C: Codec> Machine<C> {
@@ -39,7 +39,8 @@
 
   /// Sends a packet to agents as a test of whether they own its flow. While others have not
   /// answered, only one agent is tested, since most likely one of the others owns the flow. All are
-  /// tested at once when everyone has answered, or when all processes have lost power.
+  /// tested at once when everyone has answered, or when most are unsure and the history is
+  /// lost, as after a loss of power everywhere.
   pub(super) fn test_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
     if self.spread.catalog().route(&flow.route).is_none() {
       return;
@@ -50,8 +51,9 @@
     let mut agents = search.to_test();
     // Cheap checks first: after a restart there is a search for each open flow.
     let is_uncertain = !agents.is_empty() && search.has_unanswered();
-    let is_history_gone = is_uncertain && search.is_majority_unsure() && self.is_history_lost(now);
-    if is_uncertain && !is_history_gone {
+    let is_after_power_loss =
+      is_uncertain && search.is_majority_unsure() && self.is_history_lost(now);
+    if is_uncertain && !is_after_power_loss {
       let recent = |at: &Instant| now.saturating_duration_since(*at) < TEST_EVERY;
       let was_tested = self.last_tested.get(&flow).is_some_and(recent);
       agents.truncate(usize::from(!was_tested));
