--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -45,8 +45,8 @@
     }
   }
 
-  /// Whether the history is lost for good: this process has just started, and none of the balancers
-  /// that have answered knows more. They have all lost power then.
+  /// Whether the history is lost for good, as after a loss of power everywhere: this process has just
+  /// started, and none of the balancers that have answered knows the whole history.
   pub(super) fn is_history_lost(&self, now: Instant) -> bool {
     !self.history.is_known() && self.history.is_starting(now) && self.is_history_complete(now)
   }
@@ -55,8 +55,8 @@
     self.history.is_complete(now, self.spread.present(now))
   }
 
-  /// Resets flows that all agents have denied, once the history is complete enough to prove that
-  /// they are lost.
+  /// Continues the searches for flows that all queried agents have denied, once the history is
+  /// complete enough: agents that have become known are queried, and lost flows are reset.
   pub(super) fn conclude_denied(&mut self, now: Instant, out: &mut Outbox) {
     if self.denied.is_empty() || !self.is_history_complete(now) {
       return;
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -1,4 +1,4 @@
-//! Keeps the flows of agents through graceful restarts.
+//! Restores the flows of restarted agents, and sends packets that were buffered during a restart.
 
 use {
   super::machine::Machine,
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -16,8 +16,8 @@
   },
 };
 
-/// How long a target that was removed from the target list is still used if no other is listed: the
-/// platform may have dropped it while unavailable, and lists it again within two seconds.
+/// How long a target that was removed from the target list is still used if no other is available:
+/// the platform may have dropped it although it runs, and lists it again within two seconds.
 pub(super) const REMOVAL_GRACE: Duration = Duration::from_secs(2);
 
 /// What a balancer knows of a target.
@@ -184,8 +184,8 @@
     self.holders(services).filter(|agent| self.is_near(*agent))
   }
 
-  /// Whether an agent no longer exists: its target was removed from the target list, and it has
-  /// sent nothing within the timeout.
+  /// Whether an agent counts as lost: its target was removed from the target list, or is unknown, and
+  /// the agent has sent nothing within the timeout.
   pub fn is_lost(&self, now: Instant, agent: SocketAddrV4) -> bool {
     // This process may not have run long enough to receive a status from every agent.
     if now.saturating_duration_since(self.started) < self.tuning.silent {
@@ -257,7 +257,8 @@
     removed.chain(reported).collect()
   }
 
-  /// Records the load that an agent reports, which includes all opening packets sent to it.
+  /// Records the load that an agent reports, which is assumed to include all opening packets sent to
+  /// it.
   pub fn record_load(&mut self, now: Instant, agent: SocketAddrV4, load: Load) {
     if let Some(target) = self.by_agent.get_mut(&agent) {
       target.heard = Some(now);
@@ -356,8 +357,8 @@
     targets.collect()
   }
 
-  /// Removes targets that were removed from the list longer ago than a flow lives, and unlisted
-  /// agents that have timed out.
+  /// Discards reported targets that were removed from the target list longer ago than a flow lives,
+  /// and unlisted agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
     let (life, silent) = (self.tuning.amnesia, self.tuning.silent);
     self
@@ -383,10 +384,10 @@
       if !agents.contains(&agent) {
         agents.push(agent);
       }
-      let age = |entry: &Entry| (entry.gone.is_none(), entry.revision);
-      let newer = newest.entry(agent).or_insert(entry);
-      if age(newer) < age(entry) {
-        *newer = entry;
+      let precedence = |entry: &Entry| (entry.gone.is_none(), entry.revision);
+      let current = newest.entry(agent).or_insert(entry);
+      if precedence(current) < precedence(entry) {
+        *current = entry;
       }
     }
     for (agent, past) in &self.past {
