--- a/tests/datagram/balancer.rs
+++ b/tests/datagram/balancer.rs
@@ -29,11 +29,11 @@
 fn a_flow_stays_where_it_was_placed() {
   let mut balancer = balancer();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  let (place, _) = carried(&sent)[0];
-  balancer.frame(place, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  feed_status(&mut balancer, place, 1, busy(9));
+  let (host, _) = carried(&sent)[0];
+  balancer.frame(host, &Frame::Opened(flow(1, 1), Load::default()), &[]);
+  feed_status(&mut balancer, host, 1, busy(9));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
-  assert_eq!(carried(&sent), [(place, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(host, Purpose::Deliver)]);
 }
 
 #[test]
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_unknown_route_is_not_reset_without_recent_confirmation() {
+fn a_new_flow_to_an_unknown_route_is_not_reset_without_recent_confirmation() {
   let mut balancer = balancer();
   balancer.pass(Duration::from_secs(5));
   let sent = balancer.packet(Packet::open(flow(1, 9), 0));
--- a/tests/datagram/link.rs
+++ b/tests/datagram/link.rs
@@ -21,7 +21,7 @@
 /// The capacity of the link's own queue, as sending time.
 const QUEUE_MAX: Duration = Duration::from_millis(50);
 
-fn slow() -> Rate {
+fn slow_rate() -> Rate {
   Rate::megabits(2.0).expect("a rate")
 }
 
@@ -104,7 +104,7 @@
 
 #[test]
 fn bursts_are_paced_to_the_rate_of_the_link() {
-  let (mut balancer, mut link) = (with_flows(Some(slow()), 3), Link::new(slow()));
+  let (mut balancer, mut link) = (with_flows(Some(slow_rate()), 3), Link::new(slow_rate()));
   send_windows(&mut balancer, &mut link, 3);
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert_eq!((link.lost, link.arrived.len()), (0, 3 * WINDOW as usize));
@@ -112,7 +112,7 @@
 
 #[test]
 fn bursts_overflow_a_slow_link_of_unknown_rate() {
-  let (mut balancer, mut link) = (with_flows(None, 3), Link::new(slow()));
+  let (mut balancer, mut link) = (with_flows(None, 3), Link::new(slow_rate()));
   send_windows(&mut balancer, &mut link, 3);
   pass(&mut balancer, &mut link, Duration::from_millis(400));
   assert!(link.lost > 30, "lost {}", link.lost);
@@ -131,7 +131,7 @@
 
 #[test]
 fn small_and_opening_packets_overtake_queued_large_ones() {
-  let (mut balancer, mut link) = (with_flows(Some(slow()), 3), Link::new(slow()));
+  let (mut balancer, mut link) = (with_flows(Some(slow_rate()), 3), Link::new(slow_rate()));
   send_windows(&mut balancer, &mut link, 2);
   let small = Packet::data(flow(3, 1), 2, 100);
   let sent = balancer.packet(small);
@@ -147,7 +147,7 @@
 
 #[test]
 fn a_retransmission_of_a_queued_packet_is_dropped() {
-  let (mut balancer, mut link) = (with_flows(Some(slow()), 1), Link::new(slow()));
+  let (mut balancer, mut link) = (with_flows(Some(slow_rate()), 1), Link::new(slow_rate()));
   send_windows(&mut balancer, &mut link, 1);
   for number in 12..WINDOW {
     link.receive(&send(&mut balancer, upload(1, number)));
@@ -158,7 +158,7 @@
 
 #[test]
 fn the_egress_queue_is_bounded() {
-  let (mut balancer, mut link) = (with_flows(Some(slow()), 40), Link::new(slow()));
+  let (mut balancer, mut link) = (with_flows(Some(slow_rate()), 40), Link::new(slow_rate()));
   send_windows(&mut balancer, &mut link, 40);
   pass(&mut balancer, &mut link, Duration::from_secs(10));
   assert_eq!(link.lost, 0);
@@ -168,7 +168,7 @@
 
 #[test]
 fn buffered_packets_of_a_found_flow_are_paced() {
-  let (mut balancer, mut link) = (balancer_with(Some(slow())), Link::new(slow()));
+  let (mut balancer, mut link) = (balancer_with(Some(slow_rate())), Link::new(slow_rate()));
   for number in 0..WINDOW {
     send(&mut balancer, upload(1, number));
   }
@@ -180,7 +180,7 @@
 
 #[test]
 fn queries_take_only_a_fraction_of_a_slow_link() {
-  let mut balancer = balancer_with(Some(slow()));
+  let mut balancer = balancer_with(Some(slow_rate()));
   let mut queries = 0;
   for port in 1..=2000 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -39,14 +39,14 @@
   balancer.frame(11, &absent(4), &[]);
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  let past = Frame::Past {
+  let history = Frame::Past {
     known: true,
     led: vec![],
     part: 0,
     parts: 1,
     past: vec![tombstone(13)],
   };
-  balancer.frame(2, &past, &[]);
+  balancer.frame(2, &history, &[]);
   // The repeated queries include the removed target.
   let mut repeated = Vec::new();
   for _ in 0..4 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_flow_is_reset_once_all_peers_report_an_unknown_history() {
+fn a_flow_is_reset_once_all_peers_have_answered_without_knowing_the_history() {
   let mut balancer = balancer();
   feed_balancer_status(&mut balancer, 2);
   feed_balancer_status(&mut balancer, 3);
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn one_query_covers_the_flows_of_all_searches() {
+fn queries_of_all_searches_are_batched_by_agent() {
   let mut balancer = balancer();
   for port in 1..=100 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
@@ -57,7 +57,7 @@
       }
     }
   }
-  // In 0.1 s; each of both targets is queried about all flows.
+  // Two targets are queried about 2000 flows each within 0.1 s.
   assert!(datagrams <= 270, "{datagrams} datagrams");
   assert!(flows > 3900, "{flows} flows");
 }
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn only_unanswered_queries_are_repeated_a_few_times() {
+fn only_unanswered_queries_are_repeated_and_at_most_three_times() {
   let mut balancer = balancer();
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -220,7 +220,6 @@
 #[test]
 fn a_slow_start_is_not_a_stall() {
   let mut balancer = Stepped::balancer(1, None);
-  // The time that a start takes is not a stall.
   balancer.now += Duration::from_millis(400);
   let live = Presence::Live;
   let records = [
@@ -301,7 +300,7 @@
   // Only the newest flow can still be answered within 200 ms.
   assert_eq!(grant(&mut balancer, 3), [flow(3, 1)]);
   balancer.frame(12, &Frame::Opened(flow(3, 1), busy(24)), &[]);
-  // All are late, so that the oldest is sent first.
+  // The remaining ones are late, so that the oldest is sent first.
   balancer.pass(Duration::from_millis(100));
   assert_eq!(grant(&mut balancer, 3), [flow(1, 1)]);
   assert_eq!(grant(&mut balancer, 3), [flow(2, 1)]);
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -34,18 +34,18 @@
   })
 }
 
-fn owner(backends: &Backends, flow: &Flow) -> Service {
+fn service_of(backends: &Backends, flow: &Flow) -> Service {
   backends.ranked(flow)[0].service.clone()
 }
 
-fn owners(backends: &Backends) -> BTreeMap<String, u32> {
-  let mut owners = BTreeMap::new();
+fn flows_by_service(backends: &Backends) -> BTreeMap<String, u32> {
+  let mut flows_by_service = BTreeMap::new();
   for flow in flows() {
-    *owners
-      .entry(String::from(owner(backends, &flow)))
+    *flows_by_service
+      .entry(String::from(service_of(backends, &flow)))
       .or_default() += 1;
   }
-  owners
+  flows_by_service
 }
 
 /// Five standard deviations of the number of flows that get a share of the whole.
@@ -60,14 +60,17 @@
     vec![("a", 1), ("b", 1), ("c", 2)],
     vec![("a", 999), ("b", 1)],
   ] {
-    let owners = owners(&backends(&shares));
+    let flows_by_service = flows_by_service(&backends(&shares));
     let all = shares.iter().map(|(_, weight)| f64::from(*weight));
     let all = all.sum::<f64>();
     for (service, weight) in shares {
       let share = f64::from(weight) / all;
-      let count = f64::from(owners.get(service).copied().unwrap_or_default());
+      let count = f64::from(flows_by_service.get(service).copied().unwrap_or_default());
       let deviation = (count - share * f64::from(FLOWS)).abs();
-      assert!(deviation < tolerance(share), "{service}: {owners:?}");
+      assert!(
+        deviation < tolerance(share),
+        "{service}: {flows_by_service:?}"
+      );
     }
   }
 }
@@ -77,9 +80,9 @@
   let before = backends(&[("a", 90), ("b", 10)]);
   let after = backends(&[("a", 80), ("b", 20)]);
   let b = "b".parse::<Service>().expect("a name");
-  let moved = flows().filter(|flow| owner(&before, flow) != owner(&after, flow));
+  let moved = flows().filter(|flow| service_of(&before, flow) != service_of(&after, flow));
   let moved = moved.collect::<Vec<_>>();
-  assert!(moved.iter().all(|flow| owner(&after, flow) == b));
+  assert!(moved.iter().all(|flow| service_of(&after, flow) == b));
   let deviation = (moved.len() as f64 - 0.1 * f64::from(FLOWS)).abs();
   assert!(deviation < tolerance(0.1), "{}", moved.len());
 }
@@ -89,15 +92,15 @@
   let before = backends(&[("a", 3), ("b", 1)]);
   let after = backends(&[("a", 3), ("b", 1), ("c", 1)]);
   let c = "c".parse::<Service>().expect("a name");
-  let mut moved = flows().filter(|flow| owner(&before, flow) != owner(&after, flow));
-  assert!(moved.all(|flow| owner(&after, &flow) == c));
+  let mut moved = flows().filter(|flow| service_of(&before, flow) != service_of(&after, flow));
+  assert!(moved.all(|flow| service_of(&after, &flow) == c));
 }
 
 #[test]
 fn a_service_of_weight_zero_takes_none() {
-  let owners = owners(&backends(&[("a", 0), ("b", 7)]));
+  let flows_by_service = flows_by_service(&backends(&[("a", 0), ("b", 7)]));
   assert_eq!(
-    owners.into_iter().collect::<Vec<_>>(),
+    flows_by_service.into_iter().collect::<Vec<_>>(),
     [("b".into(), FLOWS)]
   );
 }
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn flows_of_a_service_without_targets_go_to_the_others_of_the_set() {
+fn flows_of_a_service_without_targets_go_to_the_other_services_of_the_route() {
   let mut balancer = balancer_with_split(1, 99);
   balancer.platform(news(Some(5), 6, &[unlisted(6, "up-21")]));
   balancer.pass(Duration::from_secs(3));
@@ -196,16 +199,16 @@
     let sent = balancer.frame(host, &absent(4), &[]);
     assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   }
-  let here = Frame::Found {
+  let found = Frame::Found {
     flow: flow(1, 1),
     service: crate::support::digest("b"),
   };
-  let sent = balancer.frame(21, &here, &[]);
+  let sent = balancer.frame(21, &found, &[]);
   assert_eq!(carried(&sent), [(21, Purpose::Deliver)]);
 }
 
 #[test]
-fn a_flow_is_found_at_each_service_of_the_set() {
+fn a_flow_is_found_at_any_service_of_its_route() {
   check_found_at_b(&mut balancer_with_split(90, 10));
 }
 
@@ -266,7 +269,7 @@
     let sent = balancer.frame(host, &absent(4), &[]);
     assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   }
-  let past = Frame::Past {
+  let history = Frame::Past {
     known: true,
     led: vec![Led {
       address: crate::support::route(1),
@@ -277,7 +280,7 @@
     parts: 1,
     past: vec![],
   };
-  let sent = balancer.frame(2, &past, &[]);
+  let sent = balancer.frame(2, &history, &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   let mut repeated = Vec::new();
   for _ in 0..4 {
@@ -346,12 +349,12 @@
 #[test]
 fn an_agent_of_another_service_denies_a_flow() {
   let mut agent = agent();
-  let ask = Frame::Ask {
+  let query = Frame::Ask {
     complete: Revision(2),
     flows: vec![(flow(1, 1), 100)],
     services: vec![crate::support::digest("b"), crate::support::digest("c")],
   };
-  let sent = agent.frame(1, &ask, &[]);
+  let sent = agent.frame(1, &query, &[]);
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Absent { lost: false, .. }, _)]
