--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator publishes, and the machine that takes it into force.
+//! The documents that the operator publishes, and the store that validates and versions them.
 
 mod digest;
 mod document;
--- a/src/config/digest.rs
+++ b/src/config/digest.rs
@@ -6,36 +6,37 @@
   std::hash::{Hash, Hasher},
 };
 
-/// How many buckets a digest sorts the keys into.
+/// The number of buckets of a digest.
 pub const BUCKETS: usize = 32;
 
-/// What a store holds, in 32 numbers: each bucket is the exclusive or of the hashes of its keys
-/// and their revisions, so that a change costs one step and equal stores have equal digests.
+/// A digest of the keys and revisions of a store. Each bucket is the exclusive or of the hashes of
+/// its (key, revision) pairs, so it is updated in constant time, and the order of changes does not
+/// matter.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
-  /// One number a bucket.
+  /// The hash of each bucket.
   pub buckets: [u64; BUCKETS],
 }
 
 impl Digest {
-  /// The bucket of a key.
+  /// The index of a key's bucket.
   pub fn bucket(key: Key) -> usize {
     hash(&key) as usize % BUCKETS
   }
 
-  /// The buckets that differ.
+  /// The indexes of the buckets that differ.
   pub fn differing(&self, other: &Self) -> Vec<usize> {
     (0..BUCKETS)
       .filter(|bucket| self.buckets[*bucket] != other.buckets[*bucket])
       .collect()
   }
 
-  /// The whole in one number, for the frequent comparison.
+  /// A hash of all buckets, for a cheap comparison of two stores.
   pub fn root(&self) -> u64 {
     hash(&self.buckets)
   }
 
-  /// Adds or removes a key at a revision: both are the same step.
+  /// Adds a key at a revision, or removes it if it was added before.
   pub fn toggle(&mut self, key: Key, revision: Revision) {
     self.buckets[Self::bucket(key)] ^= hash(&(key, revision));
   }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -4,28 +4,31 @@
   serde::de::DeserializeOwned,
 };
 
-/// The largest document, in bytes: the platform's limit on a value.
+/// The largest document in bytes, which is the platform's limit on a value.
 pub const SIZE_LIMIT: usize = 1 << 20;
 
-/// A document that has been read and checked.
+/// A parsed and validated document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Document {
-  /// An entry of the list of instances.
+  /// A process of the system.
   Instance(Instance),
-  /// The tag secrets.
+  /// The secrets that connection IDs and frames are tagged with.
   Keyring(Keyring),
-  /// A service.
+  /// A service with its targets.
   Service(Service),
 }
 
 impl Document {
-  /// Reads and checks the JSON text that stands under `key`.
+  /// Parses and validates the JSON text stored under `key`.
+  ///
+  /// Fails when the text is too long, is no valid JSON of its kind, has another id than the key, or
+  /// has a value out of range.
   pub fn read(key: Key, text: &str) -> Result<Self, Fault> {
     if text.len() > SIZE_LIMIT {
       return Err(Fault::new(
         Code::DocumentOversized,
         format!(
-          "{key}: found {} bytes, expected {SIZE_LIMIT} at most",
+          "{key}: found {} bytes, expected at most {SIZE_LIMIT}",
           text.len()
         ),
       ));
@@ -33,7 +36,7 @@
     match key {
       Key::Instance(id) => {
         let instance = parse::<Instance>(key, text)?;
-        same(key, instance.id == id)?;
+        check_id(key, instance.id == id)?;
         Ok(Self::Instance(instance))
       }
       Key::Keyring => {
@@ -43,7 +46,7 @@
       }
       Key::Service(id) => {
         let service = parse::<Service>(key, text)?;
-        same(key, service.id == id)?;
+        check_id(key, service.id == id)?;
         service.check()?;
         Ok(Self::Service(service))
       }
@@ -56,12 +59,12 @@
     .map_err(|error| Fault::new(Code::DocumentUnreadable, format!("{key}: {error}")))
 }
 
-fn same(key: Key, equal: bool) -> Result<(), Fault> {
-  if equal {
+fn check_id(key: Key, matches: bool) -> Result<(), Fault> {
+  if matches {
     return Ok(());
   }
   Err(Fault::new(
     Code::DocumentIdMismatch,
-    format!("{key}: `id` in the document differs"),
+    format!("{key}: `id` in the document differs from the key"),
   ))
 }
--- a/src/config/instance.rs
+++ b/src/config/instance.rs
@@ -4,40 +4,41 @@
   std::net::SocketAddr,
 };
 
-/// An entry of the platform's list of instances, which lags behind reality.
+/// An entry of the platform's list of instances. It may be out of date: a listed process may have
+/// stopped, and a running one may be missing.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-  /// Where its peers reach it (TCP).
+  /// The address for calls of its peers (TCP).
   pub control: SocketAddr,
-  /// The data centre that it stands in.
+  /// The name of the data centre that it is in.
   pub data_centre: String,
-  /// The instance's id, the same as in its key.
+  /// The instance's id, equal to the one in its key.
   pub id: id::Instance,
-  /// Whether it is live or leaving.
+  /// Whether it is about to stop.
   pub presence: Presence,
-  /// What it does.
+  /// Which program it runs.
   pub role: Role,
-  /// Where frames reach it (UDP).
+  /// The address for frames (UDP).
   pub tunnel: SocketAddr,
 }
 
-/// What the list says of an instance.
+/// The state of an instance according to the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
-  /// It goes soon.
+  /// It is about to stop and gets no new flows.
   Leaving,
-  /// It serves.
+  /// It is in service.
   Live,
 }
 
-/// What an instance does.
+/// The program that an instance runs.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-  /// Stands beside an upstream.
+  /// Runs on the same instance as an upstream and forwards flows and requests to it.
   Agent,
-  /// Takes callers' packets from the fabric.
+  /// Receives callers' packets from the fabric and forwards them to agents.
   Balancer,
 }
--- a/src/config/key.rs
+++ b/src/config/key.rs
@@ -10,12 +10,12 @@
   },
 };
 
-/// The platform's name of a document.
+/// The key under which the platform stores a document.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Key {
-  /// `instance/<id>`: one process of the system on the list of live and leaving instances.
+  /// `instance/<id>`: an entry of the list of instances.
   Instance(id::Instance),
-  /// `keyring`: the secrets that tags are made with.
+  /// `keyring`: the tag secrets.
   Keyring,
   /// `service/<id>`: one service.
   Service(id::Service),
--- a/src/config/keyring.rs
+++ b/src/config/keyring.rs
@@ -3,16 +3,17 @@
   serde::{Deserialize, Serialize},
 };
 
-/// How many secrets a keyring may hold.
+/// The most secrets in a keyring.
 const SECRETS_MAX: usize = 4;
 
-/// The secrets that connection IDs and frames are tagged with. All are accepted, the current one
-/// makes new tags. A secret is added, made current once every process holds it, and removed once
-/// every connection ID made with it has been replaced.
+/// The secrets that connection IDs and frames are tagged with. New tags are made with the current
+/// one; tags made with any of them are accepted. To rotate, add a secret, make it current once
+/// every process has it, and remove the old one once every connection ID made with it has been
+/// replaced.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keyring {
-  /// The id of the secret that new tags are made with.
+  /// The id of the secret with which new tags are made.
   pub current: u8,
   /// All accepted secrets.
   pub secrets: Vec<Secret>,
@@ -22,14 +23,15 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Secret {
-  /// Its id, carried in each tag.
+  /// The secret's id, which each tag contains.
   pub id: u8,
   /// 16 random bytes as 32 hexadecimal digits.
   pub value: String,
 }
 
 impl Keyring {
-  /// Checks ranges and that the current secret is there.
+  /// Fails with `DocumentOutOfRange` when the number of secrets or one of their values is invalid,
+  /// or `current` names none of them.
   pub fn check(&self) -> Result<(), Fault> {
     if self.secrets.is_empty() || self.secrets.len() > SECRETS_MAX {
       return Err(Fault::new(
@@ -57,7 +59,7 @@
 }
 
 impl Secret {
-  /// The secret's bytes.
+  /// Decodes the value, or fails with `DocumentOutOfRange` if it is not 32 hexadecimal digits.
   pub fn bytes(&self) -> Result<[u8; 16], Fault> {
     let invalid = || {
       Fault::new(
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -4,22 +4,22 @@
   serde::{Deserialize, Serialize},
 };
 
-/// A document as it passes between processes: text, revision, and for a service the target sets
-/// that stood before, since a process that has just started has seen none of them.
+/// A document with its revision, as processes exchange it. A service also has its earlier target
+/// sets, which a process that has just started could not know otherwise.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-  /// Earlier target sets, newest first.
+  /// Earlier target sets of a service, newest first; empty for other documents.
   pub history: Vec<Set>,
-  /// The platform's name of the document.
+  /// The document's key.
   pub key: Key,
-  /// The platform's revision.
+  /// The revision that the platform gave the document.
   pub revision: Revision,
-  /// The JSON text; none when the document was deleted.
+  /// The JSON text; none if the document was deleted.
   pub text: Option<String>,
 }
 
 impl Record {
-  /// A record as the platform gives it, without history.
+  /// Creates a record without history, as the platform stores it.
   pub fn new(key: Key, revision: Revision, text: Option<String>) -> Self {
     Self {
       history: Vec::new(),
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -1,21 +1,21 @@
 use serde::{Deserialize, Serialize};
 
-/// What the operator says of the requests of one method under one path prefix.
+/// The operator's settings for requests with one method and path prefix.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Route {
-  /// How long a request may wait and run, in milliseconds.
+  /// How long a request may wait and run before its answer begins, in milliseconds.
   pub deadline_ms: u64,
-  /// Whether its answer goes on for long: it takes no slot, and is never handed to another target,
-  /// since it would then end with either.
+  /// Whether the answer is a long-running stream. Such a request takes no slot and is not handed
+  /// off to another target, since it would then depend on two targets.
   pub feed: bool,
-  /// The method, such as `POST`.
+  /// The HTTP method, such as `POST`.
   pub method: String,
-  /// The prefix of the path.
+  /// The path prefix; it starts with `/`.
   pub path: String,
-  /// Whether a request may be run twice. Unmarked means not.
+  /// Whether a request may safely run more than once, so that it is retried after a failure.
   pub repeatable: bool,
-  /// What it counts in imbalance; a basket confirmation counts 2.
+  /// The relative cost of a request in the measure of work per target.
   pub weight: u32,
 }
 
--- a/src/config/service.rs
+++ b/src/config/service.rs
@@ -8,34 +8,35 @@
   std::{collections::HashSet, net::SocketAddr},
 };
 
-/// How many targets a service may name.
+/// The most targets of a service.
 const TARGETS_MAX: usize = 4096;
 
-/// A service: a set of targets that callers reach through one address.
+/// A set of targets that callers reach at one address.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-  /// The address that callers reach (UDP).
+  /// The address to which callers send their packets (UDP).
   pub address: SocketAddr,
-  /// How long a leaving target keeps its flows, in seconds.
+  /// The longest time that a leaving target keeps its flows, in seconds.
   #[serde(default = "drain_s")]
   pub drain_s: u64,
-  /// The operator's own count of the document's versions.
+  /// The operator's version number of the document.
   pub generation: u64,
-  /// The service's id, the same as in its key.
+  /// The service's id, equal to the one in its key.
   pub id: id::Service,
-  /// What people call it.
+  /// The name shown to operators.
   pub name: String,
-  /// How long a target that has just started is given fewer new flows, in seconds.
+  /// The length of the warm-up (slow start), during which a target that has started gets fewer new
+  /// flows, in seconds.
   #[serde(default = "ramp_s")]
   pub ramp_s: u64,
-  /// How long a key of a request that may not be repeated counts, in seconds.
+  /// How long the idempotency key of a request that may not be repeated is remembered, in seconds.
   #[serde(default = "repeat_window_s")]
   pub repeat_window_s: u64,
-  /// What the operator says of its requests; the first that fits counts.
+  /// Settings of its requests; the first route that matches applies.
   #[serde(default)]
   pub routes: Vec<Route>,
-  /// Its back ends.
+  /// Its targets; at least one.
   pub targets: Vec<Target>,
 }
 
@@ -52,7 +53,8 @@
 }
 
 impl Service {
-  /// Checks what the types alone do not.
+  /// Fails when the service has no targets, a target's id or an agent address occurs twice, or a
+  /// value is out of range.
   pub fn check(&self) -> Result<(), Fault> {
     if self.targets.is_empty() {
       return Err(Fault::new(
@@ -68,14 +70,14 @@
     self.check_routes()
   }
 
-  fn check_range(&self, what: &str, found: u64, most: u64) -> Result<(), Fault> {
-    if found <= most {
+  fn check_range(&self, field: &str, found: u64, max: u64) -> Result<(), Fault> {
+    if found <= max {
       return Ok(());
     }
     Err(Fault::new(
       Code::DocumentOutOfRange,
       format!(
-        "service {}: found {found}, expected {most} at most, in `{what}`",
+        "service {}: found {found}, expected at most {max}, in `{field}`",
         self.id
       ),
     ))
@@ -106,7 +108,7 @@
         return Err(Fault::new(
           Code::DocumentTargetTwice,
           format!(
-            "service {}: target {} at {} stands twice in `targets`",
+            "service {}: target {} at {} occurs twice in `targets`, by its id or its agent address",
             self.id, target.id, target.agent
           ),
         ));
@@ -117,7 +119,7 @@
     Ok(())
   }
 
-  /// The target with this id.
+  /// The target with this id, if the service has one.
   pub fn target(&self, id: id::Target) -> Option<&Target> {
     self.targets.iter().find(|target| target.id == id)
   }
--- a/src/config/set.rs
+++ b/src/config/set.rs
@@ -4,11 +4,11 @@
   serde::{Deserialize, Serialize},
 };
 
-/// The targets of a service at one revision.
+/// The targets of a service as of one revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Set {
-  /// The revision that brought them.
+  /// The revision of the document that listed them.
   pub revision: Revision,
-  /// The targets.
+  /// The targets in the order of the document.
   pub targets: Vec<Target>,
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -8,39 +8,40 @@
   },
 };
 
-/// How many earlier target sets a service keeps.
+/// The most earlier target sets that are stored for a service.
 pub const HISTORY_LIMIT: usize = 16;
 
-/// What became of an offered record.
+/// The result of offering a record to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-  /// It is in force; peers want to hear of it.
+  /// It is now in force and should be sent to peers.
   Accepted,
-  /// It is held already, at this revision.
+  /// A record of this revision is stored already.
   Known,
-  /// It is older than what is held, which stays in force.
+  /// A record of a higher revision is stored and stays.
   Older,
-  /// It is newer but not valid: what was in force stays in force. Peers want to hear of it too.
+  /// It is stored as the newest but is invalid, so the document in force stays. It should be sent
+  /// to peers too.
   Rejected(Fault),
 }
 
-/// One key's state.
+/// The state of one key.
 #[derive(Clone, Debug)]
 struct Entry {
   /// The record of the highest revision, valid or not.
   newest: Arc<Record>,
-  /// The document in force, if any, and the revision that it came with.
+  /// The document in force with its revision; none if there was no valid one or it was deleted.
   in_force: Option<(Revision, Document)>,
   /// Earlier target sets of a service, newest first.
   history: Vec<Set>,
-  /// Why the newest record is not in force.
+  /// Why the newest record is invalid, if it is.
   fault: Option<Fault>,
-  /// The text of the document in force where it is not the newest, for peers that join.
-  valid: Option<Arc<Record>>,
+  /// The record of the document in force if it is not the newest, for peers that have neither.
+  last_valid: Option<Arc<Record>>,
 }
 
-/// The machine that holds the configuration. It never steps back: a revision that is not higher
-/// than the one held is refused, whoever offers it.
+/// Stores the newest record of each key and decides which document is in force. The revision of a
+/// key never decreases: a record that is not newer than the stored one is not stored.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
   digest: Digest,
@@ -49,17 +50,17 @@
 }
 
 impl Store {
-  /// A hash of all that is held.
+  /// The digest of all stored keys and revisions.
   pub fn digest(&self) -> &Digest {
     &self.digest
   }
 
-  /// Why the newest document under `key` is not in force.
+  /// Why the newest record under `key` is invalid; none if it is valid or the key is unknown.
   pub fn fault(&self, key: Key) -> Option<&Fault> {
     self.entries.get(&key)?.fault.as_ref()
   }
 
-  /// Earlier target sets of a service, newest first.
+  /// Earlier target sets of a service, newest first; empty if the service is unknown.
   pub fn history(&self, id: id::Service) -> &[Set] {
     self
       .entries
@@ -67,7 +68,7 @@
       .map_or(&[], |entry| &entry.history)
   }
 
-  /// The revision in force under `key`.
+  /// The revision of the document in force under `key`.
   pub fn in_force(&self, key: Key) -> Option<Revision> {
     self
       .entries
@@ -77,7 +78,7 @@
       .map(|(revision, _)| *revision)
   }
 
-  /// The instances that the platform lists.
+  /// The instances in force.
   pub fn instances(&self) -> impl Iterator<Item = &Instance> {
     self.documents().filter_map(|document| match document {
       Document::Instance(instance) => Some(instance),
@@ -85,7 +86,7 @@
     })
   }
 
-  /// The keyring in force.
+  /// The keyring in force, if any.
   pub fn keyring(&self) -> Option<&Keyring> {
     match self.document(Key::Keyring)? {
       Document::Keyring(keyring) => Some(keyring),
@@ -93,7 +94,7 @@
     }
   }
 
-  /// The keys of a bucket with the revisions held.
+  /// The keys in these buckets with their newest revisions.
   pub fn keys(&self, buckets: &[usize]) -> Vec<(Key, Revision)> {
     self
       .entries
@@ -103,25 +104,26 @@
       .collect()
   }
 
-  /// How many keys are held.
+  /// The number of keys, including those of deleted documents.
   pub fn len(&self) -> usize {
     self.entries.len()
   }
 
-  /// Whether nothing is held.
+  /// Whether the store contains no key.
   pub fn is_empty(&self) -> bool {
     self.entries.is_empty()
   }
 
-  /// Takes a record into force, or says why not.
+  /// Stores a record if it is newer than the stored one, and puts its document in force if it is
+  /// valid.
   pub fn offer(&mut self, record: Record) -> Verdict {
-    let held = self
+    let stored = self
       .entries
       .get(&record.key)
       .map(|entry| entry.newest.revision);
-    match held {
-      Some(held) if record.revision < held => return Verdict::Older,
-      Some(held) if record.revision == held => {
+    match stored {
+      Some(stored) if record.revision < stored => return Verdict::Older,
+      Some(stored) if record.revision == stored => {
         self.merge_history(&record);
         return Verdict::Known;
       }
@@ -129,16 +131,16 @@
     }
     let before = self.in_force(record.key);
     let key = record.key;
-    let verdict = self.replace(held, record);
+    let verdict = self.replace(stored, record);
     if self.in_force(key) < before && self.entries[&key].newest.text.is_some() {
       self.reversions += 1;
-      debug_assert!(false, "configuration stepped back under {key}");
+      debug_assert!(false, "revision in force decreased under {key}");
     }
     verdict
   }
 
-  /// What a peer is offered of `key`: the record in force with its history and, where the newest
-  /// is another one, that too.
+  /// The records to send to a peer for `key`: the newest with the history, preceded by the record
+  /// in force if that is another one.
   pub fn records(&self, key: Key) -> Vec<Record> {
     let Some(entry) = self.entries.get(&key) else {
       return Vec::new();
@@ -147,21 +149,21 @@
       history: entry.history.clone(),
       ..(*entry.newest).clone()
     };
-    let valid = entry.valid.as_ref().map(|record| (**record).clone());
-    valid.into_iter().chain([newest]).collect()
+    let last_valid = entry.last_valid.as_ref().map(|record| (**record).clone());
+    last_valid.into_iter().chain([newest]).collect()
   }
 
-  /// How often a revision stepped back: always 0, asserted and counted.
+  /// How often a revision in force decreased. Anything but 0 is a bug.
   pub fn reversions(&self) -> u64 {
     self.reversions
   }
 
-  /// The newest revision held under `key`, in force or not.
+  /// The newest revision stored under `key`, in force or not.
   pub fn revision(&self, key: Key) -> Option<Revision> {
     self.entries.get(&key).map(|entry| entry.newest.revision)
   }
 
-  /// The service in force under `id`.
+  /// The service in force with this id, if any.
   pub fn service(&self, id: id::Service) -> Option<&Service> {
     match self.document(Key::Service(id))? {
       Document::Service(service) => Some(service),
@@ -169,8 +171,8 @@
     }
   }
 
-  /// The services in force. Of two with one address the lower id has it, whatever came first, so
-  /// that every process decides the same.
+  /// The services in force with their revisions. Of two with the same address only the one with the
+  /// lower id is included, so that every process chooses the same, whichever came first.
   pub fn services(&self) -> impl Iterator<Item = (Revision, &Service)> {
     let mut addresses: HashMap<SocketAddr, id::Service> = HashMap::new();
     self
@@ -206,27 +208,27 @@
       return;
     };
     let in_force = entry.in_force.as_ref().map(|(revision, _)| *revision);
-    merge(&mut entry.history, &record.history, in_force);
+    merge_histories(&mut entry.history, &record.history, in_force);
   }
 
-  fn replace(&mut self, held: Option<Revision>, record: Record) -> Verdict {
+  fn replace(&mut self, stored: Option<Revision>, record: Record) -> Verdict {
     let key = record.key;
-    if let Some(held) = held {
-      self.digest.toggle(key, held);
+    if let Some(stored) = stored {
+      self.digest.toggle(key, stored);
     }
     self.digest.toggle(key, record.revision);
-    let read = record
+    let parsed = record
       .text
       .as_deref()
       .map(|text| Document::read(key, text))
       .transpose();
     let old = self.entries.remove(&key);
-    let (mut history, before, mut valid) = match old {
-      Some(entry) if entry.fault.is_some() => (entry.history, entry.in_force, entry.valid),
+    let (mut history, before, mut last_valid) = match old {
+      Some(entry) if entry.fault.is_some() => (entry.history, entry.in_force, entry.last_valid),
       Some(entry) => (entry.history, entry.in_force, Some(entry.newest)),
       None => (Vec::new(), None, None),
     };
-    let (in_force, fault) = match read {
+    let (in_force, fault) = match parsed {
       Ok(document) => {
         if let Some((revision, Document::Service(service))) = before {
           history.insert(
@@ -237,18 +239,18 @@
             },
           );
         }
-        valid = None;
+        last_valid = None;
         (document.map(|document| (record.revision, document)), None)
       }
       Err(fault) => (before, Some(fault)),
     };
-    let offered = record.history;
+    let offered_history = record.history;
     let newest = Arc::new(Record {
       history: Vec::new(),
       ..record
     });
     let revision = in_force.as_ref().map(|(revision, _)| *revision);
-    merge(&mut history, &offered, revision);
+    merge_histories(&mut history, &offered_history, revision);
     self.entries.insert(
       key,
       Entry {
@@ -256,7 +258,7 @@
         history,
         in_force,
         newest,
-        valid,
+        last_valid,
       },
     );
     match fault {
@@ -266,8 +268,9 @@
   }
 }
 
-/// Joins two histories, newest first, without the set in force and without doubles.
-fn merge(history: &mut Vec<Set>, offered: &[Set], in_force: Option<Revision>) {
+/// Adds the offered history, leaves out the set in force and duplicates, and keeps the newest
+/// `HISTORY_LIMIT` sets, newest first.
+fn merge_histories(history: &mut Vec<Set>, offered: &[Set], in_force: Option<Revision>) {
   history.extend(offered.iter().cloned());
   history.retain(|set| Some(set.revision) != in_force);
   history.sort_by_key(|set| std::cmp::Reverse(set.revision));
--- a/src/config/target.rs
+++ b/src/config/target.rs
@@ -4,21 +4,21 @@
   std::net::SocketAddr,
 };
 
-/// One back end of a service: an upstream and the agent beside it.
+/// A target of a service: an upstream and the agent on the same instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-  /// Where frames reach its agent (UDP).
+  /// The address of its agent: UDP for frames, TCP for requests that peers hand off.
   pub agent: SocketAddr,
-  /// How many connections it may hold.
+  /// The most connections that it accepts.
   #[serde(default = "connections")]
   pub connections: u32,
-  /// The target's id, never used again for another one within the service.
+  /// The target's id, which must not be reused for another target of the service.
   pub id: id::Target,
-  /// Whether the operator wants it to leave.
+  /// Whether it is to take no new flows and close its old ones within `drain_s`.
   #[serde(default)]
   pub leaving: bool,
-  /// How many requests its upstream runs at once.
+  /// The most requests that its upstream runs concurrently.
   #[serde(default = "slots")]
   pub slots: u32,
 }
--- a/tests/machines/store.rs
+++ b/tests/machines/store.rs
@@ -10,24 +10,27 @@
 
 const KEY: Key = Key::Service(SERVICE);
 
-fn with(targets: &[u32]) -> fallwell::config::Service {
+fn service_with(targets: &[u32]) -> fallwell::config::Service {
   service(targets.iter().copied().map(target))
 }
 
 #[test]
 fn a_lower_revision_is_refused() {
   let mut store = Store::default();
-  assert_eq!(store.offer(record(5, &with(&[1]))), Verdict::Accepted);
-  assert_eq!(store.offer(record(4, &with(&[2]))), Verdict::Older);
-  assert_eq!(store.offer(record(5, &with(&[1]))), Verdict::Known);
+  assert_eq!(
+    store.offer(record(5, &service_with(&[1]))),
+    Verdict::Accepted
+  );
+  assert_eq!(store.offer(record(4, &service_with(&[2]))), Verdict::Older);
+  assert_eq!(store.offer(record(5, &service_with(&[1]))), Verdict::Known);
   assert_eq!(store.in_force(KEY), Some(Revision(5)));
   assert_eq!(store.reversions(), 0);
 }
 
 #[test]
-fn an_invalid_document_leaves_the_old_one_in_force_and_says_why() {
+fn an_invalid_document_is_rejected_with_a_reason_and_the_old_one_stays_in_force() {
   let mut store = Store::default();
-  store.offer(record(1, &with(&[1])));
+  store.offer(record(1, &service_with(&[1])));
   let invalid = Record::new(KEY, Revision(2), Some("{".into()));
   assert_matches!(
     store.offer(invalid),
@@ -41,9 +44,9 @@
 }
 
 #[test]
-fn a_process_that_joins_hears_of_what_is_in_force_behind_an_invalid_document() {
+fn a_process_that_joins_receives_the_document_in_force_besides_an_invalid_newer_one() {
   let mut store = Store::default();
-  store.offer(record(1, &with(&[1])));
+  store.offer(record(1, &service_with(&[1])));
   store.offer(Record::new(KEY, Revision(2), Some("{".into())));
   store.offer(Record::new(KEY, Revision(3), Some("[".into())));
   let mut joined = Store::default();
@@ -55,10 +58,10 @@
 }
 
 #[test]
-fn earlier_target_sets_are_kept_and_handed_on() {
+fn earlier_target_sets_are_stored_up_to_the_limit_and_sent_to_peers() {
   let mut store = Store::default();
   for revision in 1..=40 {
-    store.offer(record(revision, &with(&[revision as u32, 100])));
+    store.offer(record(revision, &service_with(&[revision as u32, 100])));
   }
   assert_eq!(store.history(SERVICE).len(), HISTORY_LIMIT);
   assert_eq!(store.history(SERVICE)[0].revision, Revision(39));
@@ -70,21 +73,21 @@
 }
 
 #[test]
-fn a_change_of_nothing_but_the_generation_takes_no_place_in_the_history() {
+fn a_change_of_only_the_generation_adds_nothing_to_the_history() {
   let mut store = Store::default();
   for revision in 1..=5 {
-    store.offer(record(revision, &with(&[1, 2])));
+    store.offer(record(revision, &service_with(&[1, 2])));
   }
   assert!(store.history(SERVICE).len() <= 1);
 }
 
 #[test]
-fn history_that_a_peer_adds_is_joined() {
+fn the_history_from_a_peer_is_merged() {
   let mut old = Store::default();
-  old.offer(record(1, &with(&[1])));
-  old.offer(record(2, &with(&[2])));
+  old.offer(record(1, &service_with(&[1])));
+  old.offer(record(2, &service_with(&[2])));
   let mut fresh = Store::default();
-  fresh.offer(record(2, &with(&[2])));
+  fresh.offer(record(2, &service_with(&[2])));
   assert!(fresh.history(SERVICE).is_empty());
   for record in old.records(KEY) {
     assert_eq!(fresh.offer(record), Verdict::Known);
@@ -93,24 +96,24 @@
 }
 
 #[test]
-fn of_two_services_with_one_address_the_lower_id_has_it_in_any_order() {
-  let mut first = with(&[1]);
+fn of_two_services_with_the_same_address_the_lower_id_is_in_force_in_any_order() {
+  let mut first = service_with(&[1]);
   first.id.0 = 2;
-  let mut second = with(&[2]);
+  let mut second = service_with(&[2]);
   second.id.0 = 1;
   for order in [[&first, &second], [&second, &first]] {
     let mut store = Store::default();
     for (index, service) in order.into_iter().enumerate() {
       store.offer(record(index as u64 + 1, service));
     }
-    let served = store.services().map(|(_, service)| service.id.0);
-    assert_eq!(served.collect::<Vec<_>>(), [1]);
+    let in_force = store.services().map(|(_, service)| service.id.0);
+    assert_eq!(in_force.collect::<Vec<_>>(), [1]);
   }
 }
 
 #[test]
-fn documents_out_of_range_are_refused_with_their_place() {
-  for (text, code, place) in [
+fn invalid_documents_are_rejected_with_code_and_detail() {
+  for (text, code, detail) in [
     (
       r#"{"id":1,"name":"x","generation":1,"address":"127.0.0.1:1","targets":[]}"#,
       Code::DocumentWithoutTargets,
@@ -119,19 +122,19 @@
     (
       r#"{"id":3,"name":"x","generation":1,"address":"127.0.0.1:1","targets":[]}"#,
       Code::DocumentIdMismatch,
-      "service/1: `id` in the document differs",
+      "service/1: `id` in the document differs from the key",
     ),
     (
       r#"{"id":1,"name":"x","generation":1,"address":"127.0.0.1:1","drain_s":9999999,
       "targets":[{"id":1,"agent":"127.0.0.1:2"}]}"#,
       Code::DocumentOutOfRange,
-      "service 1: found 9999999, expected 604800 at most, in `drain_s`",
+      "service 1: found 9999999, expected at most 604800, in `drain_s`",
     ),
     (
       r#"{"id":1,"name":"x","generation":1,"address":"127.0.0.1:1",
       "targets":[{"id":1,"agent":"127.0.0.1:2"},{"id":1,"agent":"127.0.0.1:3"}]}"#,
       Code::DocumentTargetTwice,
-      "service 1: target 1 at 127.0.0.1:3 stands twice in `targets`",
+      "service 1: target 1 at 127.0.0.1:3 occurs twice in `targets`, by its id or its agent address",
     ),
     (
       r#"{"id":1,"name":"x","generation":1,"address":"127.0.0.1:1","colour":1,"targets":[]}"#,
@@ -143,7 +146,7 @@
     let record = Record::new(KEY, Revision(1), Some(text.into()));
     assert_matches!(store.offer(record), Verdict::Rejected(fault) => {
       assert_eq!(fault.code, code);
-      assert!(fault.detail.starts_with(place), "{}", fault.detail);
+      assert!(fault.detail.starts_with(detail), "{}", fault.detail);
     });
   }
 }
