--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -118,7 +118,7 @@
     readers: 0,
     role: role(settings),
     seeds: settings.peers.clone(),
-    tick: peer::Settings::default().follow,
+    tick: peer::Settings::default().follow_interval,
   }
 }
 
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -320,7 +320,7 @@
   /// A frame that shows a newer revision makes the agent ask for it.
   fn compare(&self, revision: Revision) {
     if revision > self.revision() {
-      self.node.nudge();
+      self.node.request_sync();
     }
   }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,5 +1,5 @@
-//! The part of a process that takes configuration in: from peers, from the platform, and out
-//! again by the resource API.
+//! The control thread of a process: it replicates the configuration with peers, reads it from the
+//! platform, and serves the resource API.
 
 use {
   crate::{
@@ -19,34 +19,37 @@
   tokio::runtime,
 };
 
-/// How long a process that joins waits for peers before it believes the platform alone.
-const JOIN_MAX: Duration = Duration::from_secs(3);
+/// How long a process that starts waits for configuration from peers before it reads the platform.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often it asks whether there is something to do.
-const STEP: Duration = Duration::from_millis(100);
+/// The interval at which the tasks check whether an exchange or a read is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the part is given.
+/// The settings of the control thread.
 #[derive(Clone, Debug)]
 pub struct Settings {
-  /// Where the resource API listens.
+  /// The address of the resource API (TCP).
   pub api: SocketAddr,
-  /// The data centre of this process.
+  /// The name of the data centre of this process.
   pub data_centre: String,
   /// The id of this process.
   pub instance: id::Instance,
-  /// The platform's service.
+  /// The address of the platform (TCP).
   pub platform: SocketAddr,
-  /// How many balancers of a data centre read.
+  /// The number of balancers of each data centre that read the platform.
   pub readers: usize,
-  /// How much of the configuration it holds.
+  /// Which documents it stores.
   pub role: Role,
-  /// Peers known from the settings file.
+  /// The control addresses of peers from the settings file.
   pub seeds: Vec<SocketAddr>,
-  /// The time between two digests.
+  /// The time between two exchanges with peers.
   pub tick: Duration,
 }
 
-/// Runs until it is told to stop.
+/// Runs until it is stopped.
+///
+/// Fails with `AddressUnavailable` when one of its addresses cannot be bound, and `ChildFailed`
+/// when the runtime cannot start.
 pub fn run(settings: &Settings, node: &Arc<Node>, stop: &Stop) -> Result<(), Fault> {
   let runtime = runtime::Builder::new_current_thread()
     .enable_all()
@@ -56,31 +59,31 @@
     tokio::select! {
       result = Server::run(Arc::clone(node)) => result,
       result = api::serve(settings.api, Arc::clone(node)) => result,
-      () = spread(settings, node) => Ok(()),
+      () = exchange(settings, node) => Ok(()),
       () = read(settings, node) => Ok(()),
       () = stop.wait() => Ok(()),
     }
   })
 }
 
-/// Sends digests, or a follower's questions, at once when a frame has shown news.
-async fn spread(settings: &Settings, node: &Arc<Node>) {
+/// Exchanges with a random peer at regular intervals, and soon after a sync was requested.
+async fn exchange(settings: &Settings, node: &Arc<Node>) {
   join(settings, node).await;
   let mut next = Instant::now();
   loop {
-    let news = node.take_nudge();
-    if news || Instant::now() >= next {
+    let sync_requested = node.take_sync_request();
+    if sync_requested || Instant::now() >= next {
       next = Instant::now() + settings.tick;
-      node.tick();
+      node.sync();
     }
-    tokio::time::sleep(STEP).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
   }
 }
 
-/// Asks the peers of the settings file until one has told what is in force.
+/// Requests the configuration from the seeds until one has sent it, or the timeout has passed.
 async fn join(settings: &Settings, node: &Arc<Node>) {
-  let begun = Instant::now();
-  while !node.machine().has_joined() && begun.elapsed() < JOIN_MAX {
+  let start = Instant::now();
+  while !node.machine().has_joined() && start.elapsed() < JOIN_TIMEOUT {
     for seed in &settings.seeds {
       let message = match settings.role {
         Role::Carrier => Message::Digest {
@@ -95,21 +98,21 @@
       };
       node.send(*seed, message);
     }
-    tokio::time::sleep(STEP * 2).await;
+    tokio::time::sleep(POLL_INTERVAL * 2).await;
   }
 }
 
-/// Asks the platform when it is this process's turn.
+/// Reads changes from the platform whenever this process is to do so.
 async fn read(settings: &Settings, node: &Arc<Node>) {
   let mut reader = Reader::new(
     platform::Settings::default(),
     u64::from(settings.instance.0),
   );
   let mut after = Revision::default();
-  let begun = Instant::now();
+  let start = Instant::now();
   loop {
-    tokio::time::sleep(STEP).await;
-    if !may_read(settings, node, begun) {
+    tokio::time::sleep(POLL_INTERVAL).await;
+    if !may_read(settings, node, start) {
       continue;
     }
     let (designated, confirmed) = {
@@ -125,7 +128,7 @@
     match Changes::watch(settings.platform, after, &keys(settings.role), wait).await {
       Ok(changes) => {
         reader.answered();
-        after = take(node, after, changes);
+        after = apply_changes(node, after, changes);
       }
       Err(fault) => {
         reader.failed(Instant::now());
@@ -136,13 +139,14 @@
   }
 }
 
-/// A process that joins hears its peers first: the platform's copy may be old.
-fn may_read(settings: &Settings, node: &Arc<Node>, begun: Instant) -> bool {
-  let others = settings.seeds.iter().any(|seed| *seed != node.address());
-  !others || node.machine().has_joined() || begun.elapsed() >= JOIN_MAX
+/// Whether the platform may be read yet. Peers are asked first, since the platform may return an
+/// old configuration.
+fn may_read(settings: &Settings, node: &Arc<Node>, start: Instant) -> bool {
+  let has_peers = settings.seeds.iter().any(|seed| *seed != node.address());
+  !has_peers || node.machine().has_joined() || start.elapsed() >= JOIN_TIMEOUT
 }
 
-/// The documents that a role reads; none named means all.
+/// The keys that a process with this role reads from the platform; empty for all.
 fn keys(role: Role) -> Vec<Key> {
   match role {
     Role::Carrier => Vec::new(),
@@ -150,7 +154,9 @@
   }
 }
 
-fn take(node: &Arc<Node>, after: Revision, changes: Changes) -> Revision {
+/// Passes changes to the node and returns the revision to read after. An answer older than the last
+/// one is counted and ignored.
+fn apply_changes(node: &Arc<Node>, after: Revision, changes: Changes) -> Revision {
   let revision = changes.revision;
   if revision < after {
     node.counter().count(Code::PlatformStale);
@@ -161,6 +167,6 @@
     node.counter().count(fault.code);
     log::warn!("config: {fault}.");
   }
-  node.drive(Event::Platform(records));
+  node.dispatch(Event::Platform(records));
   revision
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! How configuration spreads between the processes when the platform cannot be asked by all.
+//! Peer-to-peer replication of the configuration, so that only a few processes read the platform.
 
 mod client;
 mod machine;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -17,38 +17,43 @@
   tokio::time::timeout,
 };
 
-/// How long a call may take.
-const CALL_MAX: Duration = Duration::from_secs(2);
+/// The timeout of a connection attempt and of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many connections are kept.
-const KEPT_MAX: usize = 32;
+/// The most connections that stay open.
+const CONNECTIONS_MAX: usize = 32;
 
-/// Calls peers over connections that are kept and made anew when they fail.
+/// Calls peers and reuses their connections; one that fails is replaced at the next call.
 #[derive(Clone, Debug)]
 pub struct Client {
   bind: Option<IpAddr>,
-  kept: Arc<Mutex<HashMap<SocketAddr, PeerClient>>>,
+  connections: Arc<Mutex<HashMap<SocketAddr, PeerClient>>>,
 }
 
 impl Client {
-  /// A client whose connections leave from `bind`, or from where the kernel likes.
+  /// Creates a client whose connections have the local address `bind`, or one that the kernel
+  /// chooses.
   pub fn new(bind: Option<IpAddr>) -> Self {
     Self {
       bind,
-      kept: Arc::default(),
+      connections: Arc::default(),
     }
   }
 
-  /// The state of the process at `to`, as JSON.
+  /// Requests the state dump of the process at `to`, as JSON.
+  ///
+  /// Fails with `PeerUnreachable` after the timeout or when the connection breaks.
   pub async fn dump(&self, to: SocketAddr) -> Result<String, Fault> {
     let client = self.connect(to).await?;
     client.dump(context()).await.map_err(|error| {
-      self.forget(to);
+      self.disconnect(to);
       unreachable(to, error)
     })
   }
 
-  /// Sends a message and returns what the peer says in return.
+  /// Sends a message to `to` and returns the peer's answers; `from` is this process's address.
+  ///
+  /// Fails with `PeerUnreachable` after the timeout or when the connection breaks.
   pub async fn exchange(
     &self,
     from: SocketAddr,
@@ -58,7 +63,7 @@
     let client = self.connect(to).await?;
     let call = client.exchange(context(), from, message);
     call.await.map_err(|error| {
-      self.forget(to);
+      self.disconnect(to);
       unreachable(to, error)
     })
   }
@@ -67,7 +72,7 @@
     if let Some(client) = self.lock().get(&to) {
       return Ok(client.clone());
     }
-    let stream = timeout(CALL_MAX, net::connect(to, self.bind))
+    let stream = timeout(CALL_TIMEOUT, net::connect(to, self.bind))
       .await
       .map_err(|error| unreachable(to, error))?
       .map_err(|error| unreachable(to, error))?;
@@ -76,28 +81,31 @@
       .new_framed(stream);
     let transport = tarpc::serde_transport::new(framed, Bincode::default());
     let client = PeerClient::new(Config::default(), transport).spawn();
-    let mut kept = self.lock();
-    if kept.len() >= KEPT_MAX
-      && let Some(one) = kept.keys().next().copied()
+    let mut connections = self.lock();
+    if connections.len() >= CONNECTIONS_MAX
+      && let Some(evicted) = connections.keys().next().copied()
     {
-      kept.remove(&one);
+      connections.remove(&evicted);
     }
-    kept.insert(to, client.clone());
+    connections.insert(to, client.clone());
     Ok(client)
   }
 
-  fn forget(&self, to: SocketAddr) {
+  fn disconnect(&self, to: SocketAddr) {
     self.lock().remove(&to);
   }
 
   fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, PeerClient>> {
-    self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    self
+      .connections
+      .lock()
+      .unwrap_or_else(PoisonError::into_inner)
   }
 }
 
 fn context() -> context::Context {
   let mut context = context::current();
-  context.deadline = Instant::now() + CALL_MAX;
+  context.deadline = Instant::now() + CALL_TIMEOUT;
   context
 }
 
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -13,49 +13,55 @@
   },
 };
 
-/// How many peers are looked at for each that is wanted.
-const TRIES: usize = 4;
+/// The number of random candidates for each peer to be chosen, since some may be unreachable.
+const CANDIDATES_PER_PEER: usize = 4;
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
   /// A message could not be delivered to a peer.
   Failed(SocketAddr, Message),
-  /// The platform answered, with these changes.
+  /// The platform answered; the records changed since the answer before, if any did.
   Platform(Vec<Record>),
   /// A peer's message arrived.
   Received(SocketAddr, Message),
-  /// It is time for a digest, or for a follower's question.
+  /// The interval between two exchanges has passed.
   Tick,
 }
 
-/// A message and who it is for.
+/// The receiver of a message, and the message.
 pub type Outgoing = (SocketAddr, Message);
 
-/// Spreads configuration: news is pushed at once to a few peers, and a digest each second finds
-/// what a push did not reach. A carrier holds all, a follower its own part.
+/// Replicates the configuration. Newly accepted documents are pushed to a few peers, which in turn
+/// push them to others; digests at regular intervals repair what the pushes have missed. A replica
+/// stores all documents, a follower those of its service.
 #[derive(Debug)]
 pub struct Machine {
   address: SocketAddr,
-  /// Peers that could not be reached, and when.
-  avoided: HashMap<SocketAddr, Instant>,
+  /// When each peer last failed to receive a message.
+  unreachable: HashMap<SocketAddr, Instant>,
+  /// When the platform last answered a process, as far as is known here; for a follower also when
+  /// a replica last answered it.
   confirmed: Option<Instant>,
   joined: bool,
-  part: Vec<Key>,
-  /// The other carriers, as of the version beside.
-  peers: (u64, Vec<SocketAddr>),
+  /// The keys that a follower was last given; unused by a replica.
+  subset_keys: Vec<Key>,
+  /// The other replicas, computed at `peers_version`.
+  peers: Vec<SocketAddr>,
+  peers_version: u64,
   rng: SmallRng,
   role: Role,
   seeds: Vec<SocketAddr>,
   settings: Settings,
   store: Store,
-  token: u64,
+  /// The hash of the subset that a follower was last given.
+  subset_token: u64,
   version: u64,
 }
 
 impl Machine {
-  /// The machine of the process at `address`, which knows the processes at `seeds` from its
-  /// settings.
+  /// Creates the machine of the process at `address`, with an empty store. `seeds` are the peers
+  /// from its settings file, `seed` that of the random generator.
   pub fn new(
     address: SocketAddr,
     role: Role,
@@ -65,54 +71,60 @@
   ) -> Self {
     Self {
       address,
-      avoided: HashMap::new(),
+      unreachable: HashMap::new(),
       confirmed: None,
       joined: false,
-      part: Vec::new(),
-      peers: (0, Vec::new()),
+      subset_keys: Vec::new(),
+      peers: Vec::new(),
+      peers_version: 0,
       rng: SmallRng::seed_from_u64(seed),
       role,
       seeds,
       settings,
       store: Store::default(),
-      token: 0,
+      subset_token: 0,
       version: 0,
     }
   }
 
-  /// How long ago some process heard from the platform.
+  /// How long ago the platform last answered a process, as far as is known here; for a follower
+  /// also how long ago a replica answered it. None if neither has happened.
   pub fn confirmed(&self, now: Instant) -> Option<Duration> {
     self.confirmed.map(|at| now.duration_since(at))
   }
 
-  /// A carrier answered this follower, who needs no platform then.
+  /// Records that a replica answered, so that a follower does not read the platform. Has no effect
+  /// on a replica, which must know when the platform itself answered.
   pub fn heard(&mut self, now: Instant) {
     if self.role != Role::Carrier {
       self.confirmed = Some(now);
     }
   }
 
-  /// Whether a peer or the platform has told this process what is in force.
+  /// Whether a peer has sent this process configuration or the platform has answered it.
   pub fn has_joined(&self) -> bool {
     self.joined
   }
 
-  /// Whether this process is to read from the platform for its data centre.
+  /// Whether this process is one of the `readers` balancers that read the platform for the data
+  /// centre. A follower never is.
   pub fn is_reader(&self, own: id::Instance, data_centre: &str, readers: usize) -> bool {
     self.role == Role::Carrier && subset::is_reader(&self.store, own, data_centre, readers)
   }
 
-  /// The addresses where other carriers can be asked.
+  /// The control addresses of the other replicas, completed from the seeds if fewer than two are
+  /// known.
   pub fn peers(&mut self) -> &[SocketAddr] {
-    if self.peers.0 != self.version || self.peers.1.is_empty() {
-      self.peers = (self.version, self.find_peers());
+    if self.peers_version != self.version || self.peers.is_empty() {
+      self.peers_version = self.version;
+      self.peers = self.find_peers();
     }
-    &self.peers.1
+    &self.peers
   }
 
   fn find_peers(&self) -> Vec<SocketAddr> {
     let mut peers = subset::balancers(&self.store)
-      .filter(|instance| self.is_mine(Key::Instance(instance.id)))
+      .filter(|instance| self.is_in_subset(Key::Instance(instance.id)))
       .map(|instance| instance.control)
       .filter(|control| *control != self.address)
       .collect::<Vec<_>>();
@@ -128,69 +140,71 @@
     peers
   }
 
-  /// The configuration held.
+  /// The stored configuration.
   pub fn store(&self) -> &Store {
     &self.store
   }
 
-  /// A count that rises with each change of what is held.
+  /// A number that rises with each change of the stored configuration.
   pub fn version(&self) -> u64 {
     self.version
   }
 
-  /// Takes an event and says what is to be sent.
+  /// Handles an event and returns the messages to send.
   pub fn step(&mut self, now: Instant, event: Event) -> Vec<Outgoing> {
     match event {
-      Event::Failed(peer, message) => self.failed(now, peer, message),
+      Event::Failed(peer, message) => self.reroute_offer(now, peer, message),
       Event::Platform(records) => {
         self.confirmed = Some(now);
         self.joined = true;
         if self.role != Role::Carrier {
-          self.part.extend(records.iter().map(|record| record.key));
-          self.part.sort_unstable();
-          self.part.dedup();
+          self
+            .subset_keys
+            .extend(records.iter().map(|record| record.key));
+          self.subset_keys.sort_unstable();
+          self.subset_keys.dedup();
         }
-        self.offered(now, None, records)
+        self.store_records(now, None, records)
       }
       Event::Received(from, message) => {
-        self.avoided.remove(&from);
-        self.received(now, from, message)
+        self.unreachable.remove(&from);
+        self.handle_message(now, from, message)
       }
-      Event::Tick => self.tick(now),
+      Event::Tick => self.start_exchange(now),
     }
   }
 
-  /// Whether a follower was given this key last; a carrier holds all.
-  pub fn is_mine(&self, key: Key) -> bool {
-    self.role == Role::Carrier || self.part.contains(&key)
+  /// Whether the key is in this process's subset of the configuration; a replica's contains all.
+  pub fn is_in_subset(&self, key: Key) -> bool {
+    self.role == Role::Carrier || self.subset_keys.contains(&key)
   }
 
   fn confirmed_ms(&self, now: Instant) -> Option<u64> {
     self.confirmed(now).map(|age| age.as_millis() as u64)
   }
 
-  fn received(&mut self, now: Instant, from: SocketAddr, message: Message) -> Vec<Outgoing> {
+  fn handle_message(&mut self, now: Instant, from: SocketAddr, message: Message) -> Vec<Outgoing> {
     match message {
-      Message::Buckets(digest) => self.compare(from, &digest),
-      Message::Digest { confirmed_ms, root } => self.digest(now, from, confirmed_ms, root),
+      Message::Buckets(digest) => self.compare_buckets(from, &digest),
+      Message::Digest { confirmed_ms, root } => self.compare_root(now, from, confirmed_ms, root),
       Message::Follow {
         service,
         target,
         token,
-      } => self.follow(from, service, target, token),
-      Message::Keys { buckets, keys } => self.keys(from, &buckets, &keys),
+      } => self.serve_subset(from, service, target, token),
+      Message::Keys { buckets, keys } => self.compare_keys(from, &buckets, &keys),
       Message::Offer(records) => {
         self.joined |= !records.is_empty();
-        self.offered(now, Some(from), records)
+        self.store_records(now, Some(from), records)
       }
-      Message::Subset { records, token } => self.subset(records, token),
+      Message::Subset { records, token } => self.replace_subset(records, token),
       Message::Want(keys) => self.offers(from, &keys),
     }
   }
 
-  /// News that did not reach a peer goes to another instead.
-  fn failed(&mut self, now: Instant, peer: SocketAddr, message: Message) -> Vec<Outgoing> {
-    self.avoided.insert(peer, now);
+  /// Marks a peer as unreachable. An offer that it did not receive is sent to another peer instead.
+  fn reroute_offer(&mut self, now: Instant, peer: SocketAddr, message: Message) -> Vec<Outgoing> {
+    self.unreachable.insert(peer, now);
     if !matches!(message, Message::Offer(_)) {
       return Vec::new();
     }
@@ -198,7 +212,8 @@
     other.map(|peer| (peer, message)).into_iter().collect()
   }
 
-  fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
+  /// Sends a random peer the digest of a replica, or the request of a follower.
+  fn start_exchange(&mut self, now: Instant) -> Vec<Outgoing> {
     let Some(peer) = self.random_peers(now, 1).pop() else {
       return Vec::new();
     };
@@ -210,23 +225,24 @@
       Role::Follower { service, target } => Message::Follow {
         service,
         target,
-        token: self.token,
+        token: self.subset_token,
       },
     };
     vec![(peer, message)]
   }
 
-  fn digest(
+  /// Compares a peer's root with the own one and answers with the buckets if they differ.
+  fn compare_root(
     &mut self,
     now: Instant,
     from: SocketAddr,
     confirmed_ms: Option<u64>,
     root: u64,
   ) -> Vec<Outgoing> {
-    let heard = confirmed_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-    self.confirmed = self.confirmed.max(heard);
+    let confirmed = confirmed_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
+    self.confirmed = self.confirmed.max(confirmed);
     if root == self.store.digest().root() {
-      // The peer learns in return how fresh this side is; an equal digest ends the exchange.
+      // The peer is sent the own confirmation only if that is clearly more recent.
       let age = self.confirmed_ms(now);
       let fresher = match (age, confirmed_ms) {
         (Some(own), Some(theirs)) => own + 500 < theirs,
@@ -250,7 +266,8 @@
     )]
   }
 
-  fn compare(&mut self, from: SocketAddr, digest: &Digest) -> Vec<Outgoing> {
+  /// Answers with the keys and revisions in the buckets that differ.
+  fn compare_buckets(&mut self, from: SocketAddr, digest: &Digest) -> Vec<Outgoing> {
     let differing = self.store.digest().differing(digest);
     if differing.is_empty() {
       return Vec::new();
@@ -260,7 +277,8 @@
     vec![(from, Message::Keys { buckets, keys })]
   }
 
-  fn keys(
+  /// Offers the records that are newer here and requests those that are newer at the peer.
+  fn compare_keys(
     &mut self,
     from: SocketAddr,
     buckets: &[u8],
@@ -270,8 +288,8 @@
       .iter()
       .map(|bucket| usize::from(*bucket))
       .collect::<Vec<_>>();
-    let newer = |held: &[(Key, Revision)], than: &[(Key, Revision)]| {
-      held
+    let newer = |keys: &[(Key, Revision)], than: &[(Key, Revision)]| {
+      keys
         .iter()
         .filter(|(key, revision)| {
           than
@@ -282,16 +300,17 @@
         .map(|(key, _)| *key)
         .collect::<Vec<_>>()
     };
-    let mine = self.store.keys(&buckets);
-    let mut outgoing = self.offers(from, &newer(&mine, theirs));
-    let wanted = newer(theirs, &mine);
+    let own = self.store.keys(&buckets);
+    let mut outgoing = self.offers(from, &newer(&own, theirs));
+    let wanted = newer(theirs, &own);
     if !wanted.is_empty() {
       outgoing.push((from, Message::Want(wanted)));
     }
     outgoing
   }
 
-  /// Offers documents, in messages of bounded size.
+  /// Offers of the stored documents under these keys, split into messages of about
+  /// `message_bytes`.
   fn offers(&self, to: SocketAddr, keys: &[Key]) -> Vec<Outgoing> {
     let mut outgoing = Vec::new();
     let mut records = Vec::new();
@@ -310,43 +329,46 @@
     outgoing
   }
 
-  fn offered(
+  /// Stores the records. Newly stored ones are pushed to a few peers; the sender `from` of an older
+  /// record is offered the stored one.
+  fn store_records(
     &mut self,
     now: Instant,
     from: Option<SocketAddr>,
     records: Vec<Record>,
   ) -> Vec<Outgoing> {
-    let mut news = Vec::new();
-    let mut older = Vec::new();
+    let mut accepted = Vec::new();
+    let mut outdated = Vec::new();
     for record in records {
       let key = record.key;
       match self.store.offer(record) {
-        Verdict::Accepted | Verdict::Rejected(_) => news.push(key),
+        Verdict::Accepted | Verdict::Rejected(_) => accepted.push(key),
         Verdict::Known => {}
-        Verdict::Older => older.push(key),
+        Verdict::Older => outdated.push(key),
       }
     }
     let mut outgoing = Vec::new();
     if let Some(from) = from {
-      outgoing.extend(self.offers(from, &older));
+      outgoing.extend(self.offers(from, &outdated));
     }
-    if news.is_empty() {
+    if accepted.is_empty() {
       return outgoing;
     }
     self.version += 1;
-    // Many at once are a process catching up: they are no news to the others.
-    if news.len() > self.settings.news_max {
+    // This process is catching up, so its peers already have these documents.
+    if accepted.len() > self.settings.news_max {
       return outgoing;
     }
     for peer in self.random_peers(now, self.settings.fan_out) {
       if Some(peer) != from {
-        outgoing.extend(self.offers(peer, &news));
+        outgoing.extend(self.offers(peer, &accepted));
       }
     }
     outgoing
   }
 
-  fn follow(
+  /// Answers a follower with its subset, if the one that it has is out of date.
+  fn serve_subset(
     &mut self,
     from: SocketAddr,
     service: id::Service,
@@ -356,7 +378,7 @@
     if !self.joined {
       return Vec::new();
     }
-    let keys = subset::keys(&self.store, service, target, self.settings.subset);
+    let keys = subset::keys(&self.store, service, target, self.settings.subset_balancers);
     let own = subset::token(&self.store, &keys);
     if own == token {
       return Vec::new();
@@ -374,10 +396,11 @@
     )]
   }
 
-  fn subset(&mut self, records: Vec<Record>, token: u64) -> Vec<Outgoing> {
+  /// Stores a follower's new subset, which replaces the previous one.
+  fn replace_subset(&mut self, records: Vec<Record>, token: u64) -> Vec<Outgoing> {
     self.joined = true;
-    self.token = token;
-    self.part = records.iter().map(|record| record.key).collect();
+    self.subset_token = token;
+    self.subset_keys = records.iter().map(|record| record.key).collect();
     self.version += 1;
     for record in records {
       self.store.offer(record);
@@ -385,21 +408,28 @@
     Vec::new()
   }
 
-  /// Some peers that were not found out of reach just now; any where there are no such.
+  /// Up to `count` random peers; unreachable ones only if no other candidate is left. A follower
+  /// contacts one peer at a time and pushes nothing, so it gets none for a larger count.
   fn random_peers(&mut self, now: Instant, count: usize) -> Vec<SocketAddr> {
     if self.role != Role::Carrier && count > 1 {
       return Vec::new();
     }
-    let avoid = self.settings.avoid;
-    self.avoided.retain(|_, at| now.duration_since(*at) < avoid);
+    let ttl = self.settings.unreachable_ttl;
+    self
+      .unreachable
+      .retain(|_, at| now.duration_since(*at) < ttl);
     let length = self.peers().len();
-    let order = index::sample(&mut self.rng, length, length.min(count * TRIES));
-    let order = order.iter().map(|place| self.peers.1[place]);
-    let (avoided, mut chosen): (Vec<_>, Vec<_>) =
-      order.partition(|peer| self.avoided.contains_key(peer));
+    let candidates = index::sample(
+      &mut self.rng,
+      length,
+      length.min(count * CANDIDATES_PER_PEER),
+    );
+    let candidates = candidates.iter().map(|index| self.peers[index]);
+    let (unreachable, mut chosen): (Vec<_>, Vec<_>) =
+      candidates.partition(|peer| self.unreachable.contains_key(peer));
     chosen.truncate(count);
     if chosen.is_empty() {
-      chosen.extend(avoided.into_iter().take(count));
+      chosen.extend(unreachable.into_iter().take(count));
     }
     chosen
   }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -7,49 +7,50 @@
   serde::{Deserialize, Serialize},
 };
 
-/// What two processes tell each other about configuration.
+/// A message of the replication protocol.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
-  /// What the sender holds, by bucket.
+  /// The sender's digest with a hash for each bucket, sent when the roots differ.
   Buckets(Box<Digest>),
-  /// A hash of all that the sender holds, each second.
+  /// The root of the sender's digest, sent at regular intervals.
   Digest {
-    /// How long ago some process heard from the platform, in milliseconds.
+    /// How long ago the platform last answered a process, as far as the sender knows, in
+    /// milliseconds; none if it never has.
     confirmed_ms: Option<u64>,
-    /// The hash.
+    /// The hash of the sender's whole store.
     root: u64,
   },
-  /// A follower asks for its part.
+  /// A follower requests its subset.
   Follow {
-    /// Its service.
+    /// The follower's service.
     service: id::Service,
-    /// Its target.
+    /// The follower's target.
     target: id::Target,
-    /// The hash of the part that it was given last.
+    /// The hash of the subset that it received last; 0 if none.
     token: u64,
   },
-  /// The keys and revisions that the sender holds in these buckets.
+  /// The keys and revisions that the sender stores in the buckets that differ.
   Keys {
-    /// The buckets.
+    /// The indexes of the buckets.
     buckets: Vec<u8>,
-    /// What it holds in them.
+    /// Each key in these buckets with its newest revision.
     keys: Vec<(Key, Revision)>,
   },
-  /// Documents.
+  /// Documents pushed to the receiver or requested by it.
   Offer(Vec<Record>),
-  /// A follower's part.
+  /// The answer to `Follow`, sent when the follower's token is out of date.
   Subset {
-    /// Its documents.
+    /// The documents of the subset.
     records: Vec<Record>,
-    /// Its hash.
+    /// The hash of the subset.
     token: u64,
   },
-  /// The sender asks for these documents.
+  /// Requests the documents under these keys.
   Want(Vec<Key>),
 }
 
 impl Message {
-  /// The name of its kind, under which its bytes are counted.
+  /// The name of the variant in the byte counters `control.in.*` and `control.out.*`.
   pub fn kind(&self) -> &'static str {
     match self {
       Self::Buckets(_) => "buckets",
@@ -62,7 +63,7 @@
     }
   }
 
-  /// Its size as the codec writes it, in bytes, without the transport's own.
+  /// The approximate encoded size in bytes, without the framing of the transport.
   pub fn size(&self) -> usize {
     postcard::to_stdvec(self).map_or(0, |bytes| bytes.len())
   }
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -13,8 +13,8 @@
   },
 };
 
-/// The machine in a process: it answers peers, sends to them, and tells the other parts of what
-/// comes into force.
+/// Runs the replication machine in a process: exchanges messages with peers, and sends the other
+/// parts a view of each new configuration.
 #[derive(Debug)]
 pub struct Node {
   address: SocketAddr,
@@ -23,12 +23,13 @@
   client: Client,
   counter: Arc<Counter>,
   machine: Mutex<Machine>,
-  nudged: AtomicBool,
+  sync_requested: AtomicBool,
   views: Sender<Arc<View>>,
 }
 
 impl Node {
-  /// A node that sends each new view to `views`, whose receiver keeps up.
+  /// Creates a node that sends each new view to `views`, which must not block: it is called while
+  /// the machine is locked.
   pub fn new(
     address: SocketAddr,
     bind: Option<IpAddr>,
@@ -44,92 +45,96 @@
       client: Client::new(bind),
       counter,
       machine: Mutex::new(machine),
-      nudged: AtomicBool::new(false),
+      sync_requested: AtomicBool::new(false),
       views,
     })
   }
 
-  /// Where peers reach it.
+  /// The address at which peers reach this process.
   pub fn address(&self) -> SocketAddr {
     self.address
   }
 
-  /// The address that its socket binds.
-  pub fn bound(&self) -> SocketAddr {
+  /// The address to which the listening socket is bound.
+  pub fn bind_address(&self) -> SocketAddr {
     bound(self.address, self.bind)
   }
 
-  /// Takes a peer's message; what is for that peer is returned, what is for others is sent.
+  /// Handles a peer's message: returns the answers to that peer and sends messages to others in the
+  /// background.
   pub fn answer(self: &Arc<Self>, from: SocketAddr, message: Message) -> Vec<Message> {
-    self.received(&message);
+    self.count_received(&message);
     let outgoing = self.step(Event::Received(from, message));
     let (answers, others): (Vec<_>, Vec<_>) = outgoing.into_iter().partition(|(to, _)| *to == from);
     for (to, message) in others {
       self.send(to, message);
     }
     let answers = answers.into_iter().map(|(_, message)| message);
-    answers.inspect(|message| self.sent(message)).collect()
+    answers
+      .inspect(|message| self.count_sent(message))
+      .collect()
   }
 
-  /// The state dump.
+  /// The registry of the state dump.
   pub fn registry(&self) -> &Registry {
     &self.registry
   }
 
-  /// The counts.
+  /// The counters of this process.
   pub fn counter(&self) -> &Counter {
     &self.counter
   }
 
-  /// Looks at the machine.
+  /// Locks the machine.
   pub fn machine(&self) -> MutexGuard<'_, Machine> {
     self.machine.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// A frame has shown that a peer knows something newer.
-  pub fn nudge(&self) {
-    self.nudged.store(true, Ordering::Relaxed);
+  /// Makes the control thread exchange with a peer soon, instead of after the interval.
+  pub fn request_sync(&self) {
+    self.sync_requested.store(true, Ordering::Relaxed);
   }
 
-  /// Whether `nudge` was called since this was.
-  pub fn take_nudge(&self) -> bool {
-    self.nudged.swap(false, Ordering::Relaxed)
+  /// Returns whether `request_sync` was called, and clears the request.
+  pub fn take_sync_request(&self) -> bool {
+    self.sync_requested.swap(false, Ordering::Relaxed)
   }
 
-  /// Lets the machine ask a peer what is new.
-  pub fn tick(self: &Arc<Self>) {
+  /// Starts an exchange with a random peer, in the background.
+  pub fn sync(self: &Arc<Self>) {
     for (to, message) in self.step(Event::Tick) {
       let node = Arc::clone(self);
       tokio::spawn(async move {
         let Some(answers) = node.call(to, message.clone()).await else {
-          node.drive(Event::Failed(to, message));
+          node.dispatch(Event::Failed(to, message));
           return;
         };
         node.machine().heard(Instant::now());
-        node.taken(to, answers);
+        node.process_answers(to, answers);
       });
     }
   }
 
-  /// Sends a message in a task of its own, so that one peer never holds up another, and goes on
-  /// with what it says in return. News that fails goes to another peer, once.
+  /// Sends a message in a task of its own, so that a slow peer delays no other, and processes the
+  /// answers. An undeliverable offer is sent to one other peer, without further retries.
   pub fn send(self: &Arc<Self>, to: SocketAddr, message: Message) {
     let node = Arc::clone(self);
     tokio::spawn(async move {
       if let Some(answers) = node.call(to, message.clone()).await {
-        return node.taken(to, answers);
+        return node.process_answers(to, answers);
       }
       for (other, message) in node.step(Event::Failed(to, message)) {
         if let Some(answers) = node.call(other, message).await {
-          node.taken(other, answers);
+          node.process_answers(other, answers);
         }
       }
     });
   }
 
-  /// Sends a message and waits for the answers; none when the peer cannot be reached.
+  /// Sends a message and returns the answers; none when the peer cannot be reached, which is
+  /// counted and logged.
   pub async fn call(&self, to: SocketAddr, message: Message) -> Option<Vec<Message>> {
-    self.sent(&message);
+    self.count_sent(&message);
     match self.client.exchange(self.address, to, message).await {
       Ok(answers) => Some(answers),
       Err(fault) => {
@@ -140,24 +145,24 @@
     }
   }
 
-  /// Takes what a peer said in return.
-  pub fn taken(self: &Arc<Self>, from: SocketAddr, answers: Vec<Message>) {
+  /// Feeds the answers of a peer to the machine and sends the messages that result.
+  pub fn process_answers(self: &Arc<Self>, from: SocketAddr, answers: Vec<Message>) {
     for answer in answers {
-      self.received(&answer);
+      self.count_received(&answer);
       for (to, message) in self.step(Event::Received(from, answer)) {
         self.send(to, message);
       }
     }
   }
 
-  /// Takes an event and sends what the machine says.
-  pub fn drive(self: &Arc<Self>, event: Event) {
+  /// Feeds an event to the machine and sends the messages that result.
+  pub fn dispatch(self: &Arc<Self>, event: Event) {
     for (to, message) in self.step(event) {
       self.send(to, message);
     }
   }
 
-  /// What is in force.
+  /// A snapshot of the configuration in force.
   pub fn view(&self) -> Arc<View> {
     let machine = self.machine();
     Arc::new(View::new(machine.store(), machine.version()))
@@ -169,22 +174,22 @@
     let outgoing = machine.step(Instant::now(), event);
     if machine.version() != before {
       let view = Arc::new(View::new(machine.store(), machine.version()));
-      self.post(&machine, &view);
+      self.publish_state(&machine, &view);
       let _ = self.views.send(view);
     }
     outgoing
   }
 
-  fn post(&self, machine: &Machine, view: &View) {
+  fn publish_state(&self, machine: &Machine, view: &View) {
     let store = machine.store();
-    let services = view.services.iter().map(|seen| {
+    let services = view.services.iter().map(|entry| {
       json!({
-        "generation": seen.service.generation,
-        "history": seen.history.len(),
-        "id": seen.service.id,
-        "name": seen.service.name,
-        "revision": seen.revision,
-        "targets": seen.service.targets.iter().map(|target| target.id).collect::<Vec<_>>(),
+        "generation": entry.service.generation,
+        "history": entry.history.len(),
+        "id": entry.service.id,
+        "name": entry.service.name,
+        "revision": entry.revision,
+        "targets": entry.service.targets.iter().map(|target| target.id).collect::<Vec<_>>(),
       })
     });
     self.registry.set(
@@ -203,12 +208,12 @@
     );
   }
 
-  fn received(&self, message: &Message) {
+  fn count_received(&self, message: &Message) {
     let name = format!("control.in.{}", message.kind());
     self.counter.add(&name, message.size() as u64);
   }
 
-  fn sent(&self, message: &Message) {
+  fn count_sent(&self, message: &Message) {
     let name = format!("control.out.{}", message.kind());
     self.counter.add(&name, message.size() as u64);
   }
--- a/src/peer/role.rs
+++ b/src/peer/role.rs
@@ -1,15 +1,15 @@
 use crate::id;
 
-/// How much of the configuration a process holds.
+/// Which documents a process stores.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-  /// All of it, and passes it on: a balancer.
+  /// All documents, which it also serves to other processes: a balancer.
   Carrier,
-  /// One service's, which it asks carriers for: an agent.
+  /// The documents of one service, requested from the replicas: an agent.
   Follower {
-    /// The service.
+    /// The service whose documents it stores.
     service: id::Service,
-    /// The agent's own target.
+    /// The agent's own target, which determines the balancers that it is given.
     target: id::Target,
   },
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -10,29 +10,31 @@
   },
 };
 
-/// The largest message taken, in bytes.
+/// The largest accepted message, in bytes.
 pub(super) const MESSAGE_MAX: usize = 4 << 20;
 
-/// How many calls of one connection run at once.
-const CALLS_MAX: usize = 16;
+/// The most concurrent calls on one connection.
+const CALLS_PER_CONNECTION_MAX: usize = 16;
 
-/// What a process offers its peers.
+/// The remote procedures that a process offers its peers.
 #[tarpc::service]
 pub trait Peer {
-  /// The state of the process, as JSON.
+  /// Returns the state dump of the process, as JSON.
   async fn dump() -> String;
-  /// Takes a message and returns what is to be said in return.
+  /// Handles a message of the process at `from` and returns the answers to it.
   async fn exchange(from: SocketAddr, message: Message) -> Vec<Message>;
 }
 
-/// Answers peers.
+/// Serves the calls of peers.
 #[derive(Clone, Debug)]
 pub struct Server(Arc<Node>);
 
 impl Server {
-  /// Listens on the node's address until the process ends.
+  /// Listens on the node's address and serves calls until it is cancelled.
+  ///
+  /// Fails with `AddressUnavailable` when the address cannot be bound.
   pub async fn run(node: Arc<Node>) -> Result<(), Fault> {
-    let address = node.bound();
+    let address = node.bind_address();
     let mut listener = tarpc::serde_transport::tcp::listen(&address, Bincode::default)
       .await
       .map_err(|error| Fault::new(Code::AddressUnavailable, format!("{address}: {error}")))?;
@@ -43,7 +45,8 @@
         continue;
       };
       let server = Self(Arc::clone(&node));
-      let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(CALLS_MAX);
+      let channel =
+        BaseChannel::with_defaults(transport).max_concurrent_requests(CALLS_PER_CONNECTION_MAX);
       tokio::spawn(channel.execute(server.serve()).for_each(|call| {
         tokio::spawn(call);
         future::ready(())
--- a/src/peer/settings.rs
+++ b/src/peer/settings.rs
@@ -1,33 +1,33 @@
 use std::time::Duration;
 
-/// The bounds of the spread.
+/// Limits and intervals of the replication.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// How long a peer that could not be reached is passed over.
-  pub avoid: Duration,
-  /// How many peers hear of news at once from a process that has just learnt it.
+  /// How long a peer that could not be reached is chosen only when no other is left.
+  pub unreachable_ttl: Duration,
+  /// The number of peers to which a process pushes newly accepted documents.
   pub fan_out: usize,
-  /// How many bytes of documents go into one message.
+  /// The size in bytes at which a message with documents is split.
   pub message_bytes: usize,
-  /// How many changed documents at once count as news.
+  /// The most documents, accepted at once, that are pushed; more are left to the digests.
   pub news_max: usize,
-  /// How many balancers an agent is told of.
-  pub subset: usize,
-  /// The time between two questions of a follower; a frame that shows news makes it ask at once.
-  pub follow: Duration,
-  /// The time between two digests of a carrier.
+  /// The number of balancers in a follower's subset.
+  pub subset_balancers: usize,
+  /// The time between two requests of a follower, unless a frame with a newer revision causes one.
+  pub follow_interval: Duration,
+  /// The time between two digests of a replica.
   pub tick: Duration,
 }
 
 impl Default for Settings {
   fn default() -> Self {
     Self {
-      avoid: Duration::from_secs(10),
+      unreachable_ttl: Duration::from_secs(10),
       fan_out: 4,
-      follow: Duration::from_secs(3),
+      follow_interval: Duration::from_secs(3),
       message_bytes: 128 << 10,
       news_max: 8,
-      subset: 3,
+      subset_balancers: 3,
       tick: Duration::from_secs(1),
     }
   }
--- a/src/peer/subset.rs
+++ b/src/peer/subset.rs
@@ -7,48 +7,49 @@
   std::hash::{Hash, Hasher},
 };
 
-/// The keys that a follower holds: its service, the keyring, and the few balancers that the
-/// rendezvous hash gives it.
+/// The keys in a follower's subset: its service, the keyring, and `count` balancers chosen by
+/// rendezvous hashing.
 pub fn keys(store: &Store, service: id::Service, target: id::Target, count: usize) -> Vec<Key> {
-  let mut balancers = balancers(store)
+  let mut ranked = balancers(store)
     .map(|instance| {
       let key = (service, target, instance.id);
       (hash(&key), instance.id)
     })
     .collect::<Vec<_>>();
-  balancers.sort_unstable_by(|a, b| b.cmp(a));
+  ranked.sort_unstable_by(|a, b| b.cmp(a));
   let mut keys = vec![Key::Service(service), Key::Keyring];
-  let chosen = balancers.into_iter().take(count);
+  let chosen = ranked.into_iter().take(count);
   keys.extend(chosen.map(|(_, id)| Key::Instance(id)));
   keys.retain(|key| !store.records(*key).is_empty());
   keys
 }
 
-/// The listed balancers that do not leave.
+/// The listed balancers that are not leaving.
 pub fn balancers(store: &Store) -> impl Iterator<Item = &Instance> {
   store
     .instances()
     .filter(|instance| instance.role == Role::Balancer && instance.presence == Presence::Live)
 }
 
-/// A hash of the keys and the revisions held of them.
+/// A hash of these keys and their newest revisions, which changes when the subset does.
 pub fn token(store: &Store, keys: &[Key]) -> u64 {
-  let held = keys
+  let revisions = keys
     .iter()
     .map(|key| (*key, store.revision(*key)))
     .collect::<Vec<_>>();
-  hash(&held)
+  hash(&revisions)
 }
 
-/// The readers of a data centre: the two of its listed balancers that the hash puts first. Nobody
-/// is elected; where lists differ for a while, that costs reads and nothing else.
+/// Whether the balancer `own` is among the `readers` balancers of its data centre with the highest
+/// hash, which read the platform. While processes list different balancers, the number of readers
+/// may differ from `readers`.
 pub fn is_reader(store: &Store, own: id::Instance, data_centre: &str, readers: usize) -> bool {
   let rank = hash(&own);
-  let before = balancers(store)
+  let ranked_higher = balancers(store)
     .filter(|instance| instance.data_centre == data_centre && instance.id != own)
     .filter(|instance| hash(&instance.id) > rank)
     .count();
-  before < readers
+  ranked_higher < readers
 }
 
 fn hash(value: &impl Hash) -> u64 {
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -4,32 +4,32 @@
   id,
 };
 
-/// The configuration in force at one moment, as the other parts of a process take it.
+/// A snapshot of the configuration in force, for the other parts of a process.
 #[derive(Clone, Debug, Default)]
 pub struct View {
   /// The listed instances.
   pub instances: Vec<Instance>,
-  /// The tag secrets.
+  /// The tag secrets; none until a keyring is in force.
   pub keyring: Option<Keyring>,
-  /// The services.
+  /// The services in force.
   pub services: Vec<InForce>,
-  /// The count of changes that led here.
+  /// The machine's version of which this is the snapshot.
   pub version: u64,
 }
 
-/// A service in force.
+/// A service in force with its revision and history.
 #[derive(Clone, Debug)]
 pub struct InForce {
   /// Its earlier target sets, newest first.
   pub history: Vec<Set>,
-  /// The revision that brought it.
+  /// The revision of its document.
   pub revision: Revision,
-  /// Its document.
+  /// The parsed document.
   pub service: Service,
 }
 
 impl View {
-  /// The view of what a store holds.
+  /// Copies what is in force in the store.
   pub fn new(store: &Store, version: u64) -> Self {
     let services = store.services().map(|(revision, service)| InForce {
       history: store.history(service.id).to_vec(),
@@ -44,8 +44,8 @@
     }
   }
 
-  /// The service with this id.
+  /// The service with this id; none if it is not in force.
   pub fn service(&self, id: id::Service) -> Option<&InForce> {
-    self.services.iter().find(|seen| seen.service.id == id)
+    self.services.iter().find(|entry| entry.service.id == id)
   }
 }
