--- a/src/agent.rs
+++ b/src/agent.rs
@@ -1,12 +1,12 @@
-//! The process beside an upstream: it owns that upstream's flows and requests.
+//! The agent: runs on the same instance as an upstream, terminates its callers' QUIC flows and
+//! forwards their HTTP/3 requests to it.
 
 mod call;
-mod generator;
-mod guard;
+mod cid_generator;
+mod count_guard;
 mod handoff;
 mod home;
 mod load;
-mod pipe;
 mod problem;
 mod proxy;
 mod reply;
@@ -17,6 +17,7 @@
 mod slots;
 mod tls;
 mod tunnel;
+mod tunnel_socket;
 mod upstream;
 
 pub use {
--- a/src/agent/call.rs
+++ b/src/agent/call.rs
@@ -14,57 +14,61 @@
   xxhash_rust::xxh3::{Xxh3, xxh3_128},
 };
 
-/// A body of up to this many bytes is held, so that its request can go to a peer; a larger one
-/// streams to the upstream beside.
-const HELD_MAX: usize = 64 << 10;
+/// The largest body in bytes that is buffered, so that its request can be sent to a peer. A larger
+/// one is streamed to the upstream of this agent.
+const BUFFERED_MAX: usize = 64 << 10;
 
-/// How many pieces of a body wait on their way.
-const PIECES: usize = 16;
+/// The most chunks of a body that are queued for its reader.
+const CHUNKS_MAX: usize = 16;
 
-/// The pieces of a request's body; an error cuts it, so that nobody takes it for whole.
-pub type Pieces = mpsc::Receiver<Result<Frame<Bytes>, io::Error>>;
+/// The chunks of a request's body; an error means that the body is incomplete.
+pub type Chunks = mpsc::Receiver<Result<Frame<Bytes>, io::Error>>;
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Body {
-  /// The beginning, and the pieces that follow it.
-  Stream(Bytes, Pieces),
-  /// All of it.
-  Whole(Bytes),
+  /// The bytes received so far, and the chunks that follow.
+  Stream(Bytes, Chunks),
+  /// The complete body.
+  Buffered(Bytes),
 }
 
-/// A request of a caller on its way through agents.
+/// A caller's request, as agents run it or hand it off.
 #[derive(Debug)]
 pub struct Call {
   /// Its body.
   pub body: Body,
-  /// Who sent it.
+  /// The caller's address.
   pub caller: SocketAddr,
-  /// Its method, path and headers.
+  /// The method, path and headers.
   pub head: Parts,
-  /// What the operator says of it.
+  /// The operator's settings for such requests; the defaults if no route matches.
   pub route: Route,
-  /// When it is of no use any more to start it.
+  /// The deadline: the request is not started later.
   pub start_by: Instant,
-  /// Whether it may only run at the upstream beside: it is a feed, or may be one.
-  pub stays: bool,
+  /// Whether it may only run at this agent's upstream: it is a feed, or matches no route and so
+  /// could be one.
+  pub local_only: bool,
 }
 
 impl Call {
-  /// A call whose deadline begins now. Holds the body when it is small enough.
+  /// Creates a call whose deadline is counted from now. Waits for the body until it is complete or
+  /// too large to buffer.
+  ///
+  /// Fails with `RequestCancelled` when the body ends early.
   pub async fn new(
     caller: SocketAddr,
     request: Request<()>,
     route: Option<Route>,
-    pieces: Option<Pieces>,
+    chunks: Option<Chunks>,
   ) -> Result<Self, Problem> {
-    let stays = route.as_ref().is_none_or(|route| route.feed);
+    let local_only = route.as_ref().is_none_or(|route| route.feed);
     let route = route.unwrap_or_default();
     let (head, ()) = request.into_parts();
     let start_by = Instant::now() + Duration::from_millis(route.deadline_ms);
-    let body = match pieces {
-      Some(pieces) => hold(pieces).await?,
-      None => Body::Whole(Bytes::new()),
+    let body = match chunks {
+      Some(chunks) => buffer(chunks).await?,
+      None => Body::Buffered(Bytes::new()),
     };
     Ok(Self {
       body,
@@ -72,12 +76,12 @@
       head,
       route,
       start_by,
-      stays,
+      local_only,
     })
   }
 
-  /// The header that sets one request that may not be repeated apart from all others
-  /// (draft-ietf-httpapi-idempotency-key-header).
+  /// A hash of the method, the path and the `Idempotency-Key` header
+  /// (draft-ietf-httpapi-idempotency-key-header); none without that header.
   pub fn key(&self) -> Option<u128> {
     let key = self.head.headers.get("idempotency-key")?;
     let mut bytes = self.head.method.as_str().as_bytes().to_vec();
@@ -88,24 +92,25 @@
     Some(xxh3_128(&bytes))
   }
 
-  /// A hash of what is asked, by which another request under the same key is told.
+  /// A hash of the path, the query and a buffered body, which tells whether another request reuses
+  /// the same idempotency key.
   pub fn fingerprint(&self) -> u64 {
     let mut hasher = Xxh3::new();
     let path = self.head.uri.path_and_query();
     hasher.write(path.map_or("/", |path| path.as_str()).as_bytes());
-    if let Body::Whole(body) = &self.body {
+    if let Body::Buffered(body) = &self.body {
       hasher.write(body);
     }
     hasher.finish()
   }
 
-  /// Whether the caller says that it never sent this key before.
+  /// Whether the caller marks this as its first attempt with the key.
   pub fn is_first(&self) -> bool {
     let attempt = self.head.headers.get("fallwell-attempt");
     attempt.is_some_and(|attempt| attempt.as_bytes() == b"1")
   }
 
-  /// Whether its method may have a body.
+  /// Whether a body is expected: the method usually has one, or `Content-Length` is present.
   pub fn has_body(request: &Request<()>) -> bool {
     let bodiless = matches!(
       *request.method(),
@@ -114,60 +119,63 @@
     !bodiless || request.headers().contains_key(header::CONTENT_LENGTH)
   }
 
-  /// A copy that can be sent to a peer; none when the body is not held.
-  pub fn copy(&self) -> Option<Self> {
-    let Body::Whole(body) = &self.body else {
+  /// A copy that can be sent to a peer; none if the body is not buffered.
+  pub fn try_clone(&self) -> Option<Self> {
+    let Body::Buffered(body) = &self.body else {
       return None;
     };
     Some(Self {
-      body: Body::Whole(body.clone()),
+      body: Body::Buffered(body.clone()),
       caller: self.caller,
       head: self.head.clone(),
       route: self.route.clone(),
       start_by: self.start_by,
-      stays: self.stays,
+      local_only: self.local_only,
     })
   }
 
-  /// The time until it is of no use to start it.
+  /// The time left until the deadline; zero once it has passed.
   pub fn remaining(&self) -> Duration {
     self.start_by.saturating_duration_since(Instant::now())
   }
 }
 
-async fn hold(mut pieces: Pieces) -> Result<Body, Problem> {
-  let mut held = BytesMut::new();
-  while let Some(piece) = pieces.next().await {
-    let piece = piece.map_err(|_| Problem::new(Code::RequestCancelled))?;
-    if let Ok(data) = piece.into_data() {
-      held.extend_from_slice(&data);
+async fn buffer(mut chunks: Chunks) -> Result<Body, Problem> {
+  let mut buffered = BytesMut::new();
+  while let Some(chunk) = chunks.next().await {
+    let chunk = chunk.map_err(|_| Problem::new(Code::RequestCancelled))?;
+    if let Ok(data) = chunk.into_data() {
+      buffered.extend_from_slice(&data);
     }
-    if held.len() > HELD_MAX {
-      return Ok(Body::Stream(held.freeze(), pieces));
+    if buffered.len() > BUFFERED_MAX {
+      return Ok(Body::Stream(buffered.freeze(), chunks));
     }
   }
-  Ok(Body::Whole(held.freeze()))
+  Ok(Body::Buffered(buffered.freeze()))
 }
 
-/// Where the pieces of a body are put in.
+/// The sending half of a request's body.
 #[derive(Debug)]
-pub struct Writer(mpsc::Sender<Result<Frame<Bytes>, io::Error>>);
+pub struct BodyWriter(mpsc::Sender<Result<Frame<Bytes>, io::Error>>);
 
-impl Writer {
-  /// A body and where its pieces are put in.
-  pub fn new() -> (Self, Pieces) {
-    let (sender, pieces) = mpsc::channel(PIECES);
-    (Self(sender), pieces)
+impl BodyWriter {
+  /// Creates a body and its writer.
+  pub fn new() -> (Self, Chunks) {
+    let (sender, chunks) = mpsc::channel(CHUNKS_MAX);
+    (Self(sender), chunks)
   }
 
-  /// Adds a piece; false when nobody reads any more.
-  pub async fn add(&mut self, piece: Bytes) -> bool {
-    self.0.send(Ok(Frame::data(piece))).await.is_ok()
+  /// Sends a chunk, once there is room for it; false if the body has been dropped.
+  pub async fn send(&mut self, chunk: Bytes) -> bool {
+    self.0.send(Ok(Frame::data(chunk))).await.is_ok()
   }
 
-  /// Cuts the body.
-  pub async fn cut(&mut self) {
-    let cut = io::Error::new(io::ErrorKind::ConnectionAborted, "caller gave up");
-    let _ = self.0.send(Err(cut)).await;
+  /// Ends the body with an error, so that it is not taken for complete.
+  pub async fn abort(&mut self) {
+    let error = io::Error::new(
+      io::ErrorKind::ConnectionAborted,
+      "request body is incomplete",
+    );
+    let _ = self.0.send(Err(error)).await;
   }
 }
--- a/src/agent/generator.rs
+++ b/src/agent/cid_generator.rs
@@ -5,28 +5,28 @@
   std::{sync::Arc, time::Duration},
 };
 
-/// How long a connection ID is used before the transport replaces it. A tag secret may be removed
-/// once it has not been the current one for longer than this.
-const LIFETIME: Duration = Duration::from_mins(10);
+/// The time after which the transport replaces a connection ID. A tag secret that has been replaced
+/// must stay in the keyring for at least this long.
+const CID_LIFETIME: Duration = Duration::from_mins(10);
 
-/// Makes connection IDs that name the target.
+/// Generates connection IDs that contain the target and the agent's incarnation.
 #[derive(Debug)]
-pub struct Generator {
+pub struct CidGenerator {
   lifetime: Duration,
   shared: Arc<Shared>,
 }
 
-impl Generator {
-  /// A generator for the agent's target.
+impl CidGenerator {
+  /// Creates a generator for the agent's target.
   pub fn new(shared: Arc<Shared>) -> Self {
     Self {
-      lifetime: LIFETIME,
+      lifetime: CID_LIFETIME,
       shared,
     }
   }
 }
 
-impl ConnectionIdGenerator for Generator {
+impl ConnectionIdGenerator for CidGenerator {
   fn generate_cid(&mut self) -> ConnectionId {
     let cid = Cid {
       incarnation: self.shared.incarnation,
--- a/src/agent/guard.rs
+++ b/src/agent/count_guard.rs
@@ -1,18 +1,18 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Counts something for as long as it lives.
+/// Counts one in a counter until it is dropped.
 #[derive(Debug)]
-pub struct Guard<'a>(&'a AtomicU32);
+pub struct CountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Guard<'a> {
-  /// Counts one more.
+impl<'a> CountGuard<'a> {
+  /// Increments the counter.
   pub fn new(count: &'a AtomicU32) -> Self {
     count.fetch_add(1, Ordering::Relaxed);
     Self(count)
   }
 }
 
-impl Drop for Guard<'_> {
+impl Drop for CountGuard<'_> {
   fn drop(&mut self) {
     self.0.fetch_sub(1, Ordering::Relaxed);
   }
--- a/src/agent/handoff.rs
+++ b/src/agent/handoff.rs
@@ -4,7 +4,7 @@
     call::{Body, Call},
     home,
     problem::Problem,
-    reply::{Live, Reply},
+    reply::{Reply, Streamed},
     runner,
     upstream::{self, Answer, Failure},
   },
@@ -29,23 +29,24 @@
   tokio::net::TcpListener,
 };
 
-/// Sets the tags of handed calls apart from others under the same secret.
-const DOMAIN: u64 = 0x6861_6e64;
+/// Separates the tags of hand-offs from others made with the same secret.
+const TAG_DOMAIN: u64 = 0x6861_6e64;
 
-/// The largest body that is handed over, in bytes.
+/// The largest body accepted from a peer, in bytes.
 const BODY_MAX: usize = 128 << 10;
 
-/// What a peer is asked to do with a call.
+/// What a peer is to do with a call that is handed off to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Mode {
-  /// Hand over what it knows of the key, and never run it from now on.
+  /// Return the answer stored under the call's key, if any, and refuse to run the key from now on.
   Claim,
-  /// Run it as the key's home, after asking these targets what they know; `lost` when one of the
-  /// key's earlier homes is dead.
+  /// Run it as the key's home, after claiming the key from these targets and the earlier homes that
+  /// the peer knows.
   Home {
-    /// Targets that were the key's home and live.
+    /// Targets that refused to run the key because they are leaving.
     earlier: Vec<id::Target>,
-    /// Whether one of them is dead.
+    /// Whether a target that precedes this one in the order of homes refused the connection, so
+    /// that its ledger is lost.
     lost: bool,
   },
   /// Run it now or not at all.
@@ -53,7 +54,8 @@
 }
 
 impl Mode {
-  fn text(&self) -> String {
+  /// The value of the `fallwell-mode` header.
+  fn header(&self) -> String {
     match self {
       Self::Claim => "claim".into(),
       Self::Home { earlier, lost } => {
@@ -67,7 +69,7 @@
     }
   }
 
-  fn read(text: &str) -> Option<Self> {
+  fn parse(text: &str) -> Option<Self> {
     match text {
       "claim" => return Some(Self::Claim),
       "run" => return Some(Self::Run),
@@ -80,7 +82,7 @@
   }
 }
 
-/// Sends a call to a peer, once.
+/// Hands a call off to a peer, without retries.
 pub async fn send(
   shared: &Shared,
   peer: Hop,
@@ -91,7 +93,7 @@
   let remaining = call.remaining().as_millis().to_string();
   for (name, value) in [
     ("fallwell-caller", call.caller.to_string()),
-    ("fallwell-mode", mode.text()),
+    ("fallwell-mode", mode.header()),
     ("fallwell-remaining-ms", remaining),
     ("fallwell-service", shared.settings.service.to_string()),
     ("fallwell-target", peer.target.to_string()),
@@ -100,7 +102,7 @@
     call.head.headers.insert(name, value);
   }
   let tag = tagger
-    .tag(tagger.current(), DOMAIN, &signed(&call.head))
+    .tag(tagger.current(), TAG_DOMAIN, &tagged_bytes(&call.head))
     .ok_or(Failure::Unreachable)?;
   let tag = format!("{}-{tag:016x}", tagger.current());
   let tag = HeaderValue::from_str(&tag).map_err(|_| Failure::Unreachable)?;
@@ -108,14 +110,14 @@
   upstream::send(peer.address, shared.settings.bind, call).await
 }
 
-/// The result code that a peer answered with, if its answer is its own and not its upstream's.
-pub fn code(answer: &Answer) -> Option<Code> {
+/// The result code of a peer's own answer; none if the answer is that of its upstream.
+pub fn result_code(answer: &Answer) -> Option<Code> {
   let code = answer.response.headers().get("fallwell-code")?;
   Code::from_number(code.to_str().ok()?.parse().ok()?)
 }
 
-/// What a tag covers: all that decides over a handed call.
-fn signed(head: &Parts) -> Vec<u8> {
+/// The bytes that the tag authenticates.
+fn tagged_bytes(head: &Parts) -> Vec<u8> {
   let mut bytes = format!("{} {}", head.method, head.uri).into_bytes();
   for name in [
     "fallwell-attempt",
@@ -133,9 +135,10 @@
   bytes
 }
 
-type Sent = Either<Full<Bytes>, Live>;
+type ResponseBody = Either<Full<Bytes>, Streamed>;
 
-/// Takes calls from peers until the process ends.
+/// Accepts calls of peers until it is cancelled. Fails with `AddressUnavailable` when the listener
+/// cannot be used.
 pub async fn serve(shared: Arc<Shared>) -> Result<(), Fault> {
   let failed = |error| Fault::new(Code::AddressUnavailable, error);
   let listener = shared.handoffs.try_clone().map_err(failed)?;
@@ -143,7 +146,7 @@
   web::accept(listener, move |request: Request<Incoming>| {
     let shared = Arc::clone(&shared);
     async move {
-      match take(&shared, request).await {
+      match handle(&shared, request).await {
         Ok(reply) => respond(reply),
         Err(problem) => {
           shared.counter.count(problem.code);
@@ -155,91 +158,93 @@
   .await
 }
 
-async fn take(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Reply, Problem> {
+async fn handle(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Reply, Problem> {
   let (head, body) = request.into_parts();
-  let mode = check(shared, &head)?;
+  let mode = authenticate(shared, &head)?;
   let body = Limited::new(body, BODY_MAX).collect().await;
   let body = body.map_err(|_| Problem::new(Code::RequestMalformed))?;
-  let call = call(shared, head, body.to_bytes())?;
+  let call = parse_call(shared, head, body.to_bytes())?;
   Ok(match mode {
     Mode::Claim => claim(shared, &call),
-    Mode::Home { earlier, lost } => home::run_here(shared, call, &earlier, lost).await,
-    Mode::Run => runner::run_here(shared, call).await,
+    Mode::Home { earlier, lost } => home::run_as_home(shared, call, &earlier, lost).await,
+    Mode::Run => runner::run_handed_off(shared, call).await,
   })
 }
 
-/// Lets in only calls for this target with a fitting tag.
-fn check(shared: &Shared, head: &Parts) -> Result<Mode, Problem> {
-  let text = |name| text(&head.headers, name);
+/// Checks that the tag is valid and the call is for this target, and returns the mode.
+fn authenticate(shared: &Shared, head: &Parts) -> Result<Mode, Problem> {
+  let value = |name| header_text(&head.headers, name);
   let tagger = shared.tagger().ok_or(Problem::new(Code::NotReady))?;
   let forged = Problem::new(Code::FrameForged);
-  let (id, tag) = text("fallwell-tag")
+  let (id, tag) = value("fallwell-tag")
     .and_then(|tag| tag.split_once('-'))
     .ok_or(forged)?;
   let id = id.parse().map_err(|_| forged)?;
   let tag = u64::from_str_radix(tag, 16).map_err(|_| forged)?;
-  let expected = tagger.tag(id, DOMAIN, &signed(head));
+  let expected = tagger.tag(id, TAG_DOMAIN, &tagged_bytes(head));
   if expected != Some(tag) {
     return Err(forged);
   }
-  if text("fallwell-service") != Some(shared.settings.service.to_string().as_str()) {
+  if value("fallwell-service") != Some(shared.settings.service.to_string().as_str()) {
     return Err(Problem::new(Code::FrameWrongService));
   }
-  if text("fallwell-target") != Some(shared.settings.target.to_string().as_str()) {
+  if value("fallwell-target") != Some(shared.settings.target.to_string().as_str()) {
     return Err(Problem::new(Code::FrameWrongTarget));
   }
-  text("fallwell-mode")
-    .and_then(Mode::read)
+  value("fallwell-mode")
+    .and_then(Mode::parse)
     .ok_or(Problem::new(Code::RequestMalformed))
 }
 
-fn call(shared: &Shared, mut head: Parts, body: Bytes) -> Result<Call, Problem> {
+/// Restores the call from the headers that the peer added, and removes them.
+fn parse_call(shared: &Shared, mut head: Parts, body: Bytes) -> Result<Call, Problem> {
   let malformed = Problem::new(Code::RequestMalformed);
-  let caller = text(&head.headers, "fallwell-caller").and_then(|text| text.parse().ok());
+  let caller = header_text(&head.headers, "fallwell-caller").and_then(|text| text.parse().ok());
   let caller: SocketAddr = caller.ok_or(malformed)?;
-  let remaining = text(&head.headers, "fallwell-remaining-ms").and_then(|text| text.parse().ok());
+  let remaining = header_text(&head.headers, "fallwell-remaining-ms");
+  let remaining = remaining.and_then(|text| text.parse().ok());
   let remaining = Duration::from_millis(remaining.ok_or(malformed)?);
   for name in ["caller", "mode", "remaining-ms", "service", "tag", "target"] {
     head.headers.remove(format!("fallwell-{name}"));
   }
-  upstream::strip(&mut head.headers);
+  upstream::strip_connection_headers(&mut head.headers);
   let route = shared.route(head.method.as_str(), head.uri.path());
   let route = route.unwrap_or_default();
   Ok(Call {
-    body: Body::Whole(body),
+    body: Body::Buffered(body),
     caller,
     head,
     route,
     start_by: Instant::now() + remaining,
-    stays: false,
+    local_only: false,
   })
 }
 
-/// Hands the key over: from now on it does not run here.
+/// Gives up the key to the peer, so that this agent does not run it from now on.
 fn claim(shared: &Shared, call: &Call) -> Reply {
   let Some(key) = call.key() else {
     return Reply::Problem(Problem::new(Code::RequestMalformed));
   };
   match shared.ledger().step(Instant::now(), Event::Claimed(key)) {
-    Action::Replay(answer) => Reply::Held(answer),
+    Action::Replay(answer) => Reply::Buffered(answer),
     Action::Nothing => Reply::Problem(Problem::new(Code::RequestKeyMoved)),
     _ => Reply::Problem(Problem::new(Code::RequestOutcomeUnknown)),
   }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
   headers.get(name)?.to_str().ok()
 }
 
-fn respond(reply: Reply) -> Response<Sent> {
+fn respond(reply: Reply) -> Response<ResponseBody> {
   match reply {
-    Reply::Held(answer) => {
+    Reply::Buffered(answer) => {
       let mut response = Response::new(Either::Left(Full::new(answer.body)));
       *response.status_mut() = answer.status;
       *response.headers_mut() = (*answer.headers).clone();
       response
     }
-    Reply::Live(live) => live.response().map(Either::Right),
+    Reply::Streamed(answer) => answer.response().map(Either::Right),
     Reply::Problem(problem) => {
       let (head, body) = problem.response();
       debug_assert_ne!(head.status(), StatusCode::OK);
--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -1,10 +1,13 @@
+//! Requests with an idempotency key that may not be repeated run at the key's home: the target that
+//! rendezvous hashing chooses for the key, and whose ledger decides whether it runs.
+
 use {
   super::{
     Shared,
     call::Call,
     handoff::{self, Mode},
     problem::Problem,
-    reply::{Live, Reply},
+    reply::{Reply, Streamed},
     runner,
     upstream::{Answer, Failure},
   },
@@ -18,29 +21,29 @@
   tokio::sync::watch,
 };
 
-/// How many homes are tried, one after another.
-const HOMES_MAX: usize = 3;
+/// The most homes that are tried, one after another.
+const HOMES_TRIED_MAX: usize = 3;
 
-/// The largest answer of a request with a key, in bytes.
-const ANSWER_MAX: usize = 16 << 20;
+/// The largest answer that the ledger stores, in bytes.
+const ANSWER_BYTES_MAX: usize = 16 << 20;
 
-/// Where those that wait for a key's answer look; none while it runs.
-pub type Waiters = watch::Receiver<Option<Outcome>>;
+/// Receives the outcome of the request with a key; none while it runs.
+pub type OutcomeReceiver = watch::Receiver<Option<Outcome>>;
 
 /// Runs a call with a key at the key's home, at most once.
 pub async fn run(shared: &Arc<Shared>, call: Call, key: u128) -> Reply {
   let mut earlier = Vec::new();
   let mut lost = false;
   let mut tried = Vec::new();
-  for _ in 0..HOMES_MAX {
+  for _ in 0..HOMES_TRIED_MAX {
     let Some(home) = shared.home(key, &tried) else {
       break;
     };
     tried.push(home.target);
     if home.target == shared.settings.target {
-      return run_here(shared, call, &earlier, lost).await;
+      return run_as_home(shared, call, &earlier, lost).await;
     }
-    let Some(copy) = call.copy() else {
+    let Some(copy) = call.try_clone() else {
       return Reply::Problem(Problem::new(Code::RequestOversized));
     };
     let mode = Mode::Home {
@@ -48,13 +51,13 @@
       lost,
     };
     match handoff::send(shared, home, copy, &mode).await {
-      // It leaves and runs no new key: another is the home now, and asks it.
-      Ok(answer) if handoff::code(&answer) == Some(Code::RequestKeyMoved) => {
+      // A leaving target runs no new keys. The next home claims the key from it.
+      Ok(answer) if handoff::result_code(&answer) == Some(Code::RequestKeyMoved) => {
         earlier.push(home.target);
       }
-      Ok(answer) => return Reply::Live(Live::new(answer, None)),
-      // Nobody listens: what it knew died with it, and its next run will say so of itself.
-      Err(Failure::Dead) => lost = true,
+      Ok(answer) => return Reply::Streamed(Streamed::new(answer, None)),
+      // The process has ended, and its ledger is lost. Its next incarnation knows that by itself.
+      Err(Failure::Refused) => lost = true,
       Err(Failure::Unreachable) => {
         return Reply::Problem(Problem::new(Code::RequestHomeUnreachable));
       }
@@ -66,8 +69,8 @@
   Reply::Problem(Problem::new(Code::RequestHomeUnreachable))
 }
 
-/// Runs a call with a key as its home.
-pub async fn run_here(
+/// Runs a call with a key as the key's home. `earlier` and `lost` are those of `Mode::Home`.
+pub async fn run_as_home(
   shared: &Arc<Shared>,
   call: Call,
   earlier: &[id::Target],
@@ -83,7 +86,7 @@
   let past = if known {
     Past::Clear
   } else {
-    match ask_earlier(shared, &call, key, earlier, lost).await {
+    match claim_from_earlier(shared, &call, key, earlier, lost).await {
       Ok(past) => past,
       Err(reply) => return *reply,
     }
@@ -94,36 +97,38 @@
     key,
     past,
   };
-  // The answer's place is made under the same lock as the decision to run.
-  let (action, waiters) = shared.enter_key(key, event);
+  let (action, receiver) = shared.admit_key(key, event);
   match action {
-    Action::Run => run_once(shared, call, key, waiters).await,
-    Action::Wait => wait(call, waiters).await,
-    Action::Replay(answer) => Reply::Held(answer),
+    Action::Run => run_once(shared, call, key, receiver).await,
+    Action::Wait => wait(call, receiver).await,
+    Action::Replay(answer) => Reply::Buffered(answer),
     Action::Conflict => Reply::Problem(Problem::new(Code::RequestKeyReused)),
     Action::NotRun(code) => Reply::Problem(Problem::new(code)),
     Action::Nothing | Action::Unknown => Reply::Problem(Problem::new(Code::RequestOutcomeUnknown)),
   }
 }
 
-/// Asks all that were the key's home within the window, and takes the key over from them.
-async fn ask_earlier(
+/// Claims the key from all targets that may have been its home within the repeat window, so that
+/// they do not run it from now on. Fails with the reply to send if one of them has run it.
+async fn claim_from_earlier(
   shared: &Arc<Shared>,
   call: &Call,
   key: u128,
-  named: &[id::Target],
+  earlier: &[id::Target],
   lost: bool,
 ) -> Result<Past, Box<Reply>> {
   let mut homes = shared.earlier_homes(key);
-  homes.extend(named.iter().copied());
+  homes.extend(earlier.iter().copied());
   let mut past = if lost { Past::Lost } else { Past::Clear };
-  if homes.remove(&shared.settings.target) && shared.has_just_started() {
-    // An earlier run of this very target may have run it.
+  if homes.remove(&shared.settings.target) && shared.has_started_within_window() {
+    // A previous incarnation of this target may have run it.
     past = Past::Lost;
   }
   for hop in hops(shared, homes) {
     match claim(shared, call, hop).await {
-      Claim::Answered(answer) => return Err(Box::new(Reply::Live(Live::new(answer, None)))),
+      Claim::Answered(answer) => {
+        return Err(Box::new(Reply::Streamed(Streamed::new(answer, None))));
+      }
       Claim::Lost if past == Past::Clear => past = Past::Lost,
       Claim::Clear | Claim::Lost => {}
       Claim::Unknown => {
@@ -137,27 +142,32 @@
   Ok(past)
 }
 
-/// What an earlier home says.
+/// The result of claiming a key from an earlier home.
 enum Claim {
+  /// It has run the request; this is the stored answer.
   Answered(Answer),
+  /// It has not run the key, and will not.
   Clear,
+  /// Its ledger is lost: it has ended, or another process has its address.
   Lost,
+  /// It may have run the request, with an unknown outcome.
   Unknown,
+  /// It cannot be reached, so it may still run the key.
   Unreachable,
 }
 
 async fn claim(shared: &Shared, call: &Call, hop: Hop) -> Claim {
-  let Some(copy) = call.copy() else {
+  let Some(copy) = call.try_clone() else {
     return Claim::Unreachable;
   };
   match handoff::send(shared, hop, copy, &Mode::Claim).await {
-    Ok(answer) => match handoff::code(&answer) {
+    Ok(answer) => match handoff::result_code(&answer) {
       Some(Code::RequestKeyMoved) => Claim::Clear,
       Some(Code::FrameWrongService | Code::FrameWrongTarget) => Claim::Lost,
       Some(_) => Claim::Unknown,
       None => Claim::Answered(answer),
     },
-    Err(Failure::Dead) => Claim::Lost,
+    Err(Failure::Refused) => Claim::Lost,
     Err(Failure::Unreachable | Failure::Unknown) => Claim::Unreachable,
   }
 }
@@ -171,53 +181,56 @@
   hops.collect()
 }
 
-/// Runs the call in a task of its own: a caller that goes away does not stop it, and finds its
-/// answer when it asks again.
-async fn run_once(shared: &Arc<Shared>, call: Call, key: u128, waiters: Waiters) -> Reply {
+/// Runs the call in a task of its own, so that it completes and its answer is stored even if the
+/// caller cancels the request.
+async fn run_once(shared: &Arc<Shared>, call: Call, key: u128, receiver: OutcomeReceiver) -> Reply {
   let start_by = call.start_by;
   let shared = Arc::clone(shared);
   tokio::spawn(async move {
     let reply = runner::run(&shared, call).await;
-    let outcome = outcome(reply).await;
+    let outcome = collect_outcome(reply).await;
     shared.finish_key(key, outcome);
   });
-  finish(start_by, waiters).await
+  await_outcome(start_by, receiver).await
 }
 
-async fn wait(call: Call, waiters: Waiters) -> Reply {
-  finish(call.start_by, waiters).await
+async fn wait(call: Call, receiver: OutcomeReceiver) -> Reply {
+  await_outcome(call.start_by, receiver).await
 }
 
-async fn finish(start_by: Instant, mut waiters: Waiters) -> Reply {
-  let outcome = waiters.wait_for(Option::is_some);
+/// Waits until the deadline for the outcome and converts it to a reply.
+async fn await_outcome(start_by: Instant, mut receiver: OutcomeReceiver) -> Reply {
+  let outcome = receiver.wait_for(Option::is_some);
   let outcome = tokio::time::timeout_at(start_by.into(), outcome).await;
   let outcome = match &outcome {
     Ok(Ok(outcome)) => outcome.as_ref(),
     _ => None,
   };
   match outcome {
-    Some(Outcome::Answered(answer)) => Reply::Held(answer.clone()),
+    Some(Outcome::Answered(answer)) => Reply::Buffered(answer.clone()),
     Some(Outcome::NotRun(code)) => Reply::Problem(Problem::new(*code)),
     Some(Outcome::Unknown) | None => Reply::Problem(Problem::new(Code::RequestOutcomeUnknown)),
   }
 }
 
-/// What a reply means for the ledger: only what is whole counts as an answer.
-async fn outcome(reply: Reply) -> Outcome {
+/// The outcome to record for a reply. An answer counts only once it is complete.
+async fn collect_outcome(reply: Reply) -> Outcome {
   match reply {
-    Reply::Held(answer) => Outcome::Answered(answer),
-    Reply::Live(live) => whole(live).await,
+    Reply::Buffered(answer) => Outcome::Answered(answer),
+    Reply::Streamed(answer) => collect_answer(answer).await,
     Reply::Problem(problem) if problem.code == Code::RequestOutcomeUnknown => Outcome::Unknown,
     Reply::Problem(problem) => Outcome::NotRun(problem.code),
   }
 }
 
-async fn whole(mut live: Live) -> Outcome {
-  let (status, headers) = live.head();
+async fn collect_answer(mut answer: Streamed) -> Outcome {
+  let (status, headers) = answer.head();
   let mut body = BytesMut::new();
   loop {
-    match live.piece().await {
-      Ok(Some(piece)) if body.len() + piece.len() <= ANSWER_MAX => body.extend_from_slice(&piece),
+    match answer.next_chunk().await {
+      Ok(Some(chunk)) if body.len() + chunk.len() <= ANSWER_BYTES_MAX => {
+        body.extend_from_slice(&chunk);
+      }
       Ok(Some(_)) | Err(_) => return Outcome::Unknown,
       Ok(None) => break,
     }
@@ -229,12 +242,12 @@
   })
 }
 
-/// A key's number for the rendezvous hash.
+/// The part of a key that rendezvous hashing uses.
 pub fn rank_key(key: u128) -> u64 {
   (key >> 64) as u64
 }
 
-/// The key's home among the targets of a table, without those already tried.
+/// The key's home among the targets of a table that have not been tried.
 pub fn find(table: &routing::Table, key: u128, tried: &[id::Target]) -> Option<Hop> {
   routing::Machine::alternative(table, rank_key(key), tried)
 }
--- a/src/agent/load.rs
+++ b/src/agent/load.rs
@@ -1,14 +1,14 @@
 use std::time::{Duration, Instant};
 
-/// How busy a target says it is, in 1/255 of what it may hold. One that has just started says that
-/// it is busier than it is, ever less so, which keeps new flows from rushing to it.
+/// The load that a target reports, in 1/255 of its `limit` of flows. During the warm-up (slow
+/// start) it is at least the share of `ramp` that is left, so that new flows are added gradually.
 pub fn level(flows: u32, limit: u32, started: Instant, now: Instant, ramp: Duration) -> u8 {
-  let held = u64::from(flows) * 255 / u64::from(limit.max(1));
-  let held = held.min(255) as u8;
+  let load = u64::from(flows) * 255 / u64::from(limit.max(1));
+  let load = load.min(255) as u8;
   let age = now.duration_since(started);
   if age >= ramp {
-    return held;
+    return load;
   }
-  let left = ramp.saturating_sub(age).as_millis() * 255 / ramp.as_millis().max(1);
-  held.max(left.min(255) as u8)
+  let warmup_left = ramp.saturating_sub(age).as_millis() * 255 / ramp.as_millis().max(1);
+  load.max(warmup_left.min(255) as u8)
 }
--- a/src/agent/problem.rs
+++ b/src/agent/problem.rs
@@ -5,18 +5,18 @@
   serde_json::json,
 };
 
-/// A final answer of the agent's own: a problem document (RFC 9457) with its result code, and when
-/// to come back.
+/// The agent's own answer that a request failed: a problem document (RFC 9457) with a result code
+/// and a `Retry-After` header.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Problem {
-  /// The result code.
+  /// The result code, also sent in the `fallwell-code` header.
   pub code: Code,
-  /// When to come back, in seconds.
+  /// When the caller may retry, in seconds from now.
   pub retry_after: u32,
 }
 
 impl Problem {
-  /// The problem of a code, with a short time to come back.
+  /// Creates a problem that may be retried after a second.
   pub fn new(code: Code) -> Self {
     Self {
       code,
@@ -24,15 +24,16 @@
     }
   }
 
-  /// The refusal of a busy target, with the time until it may be free, in whole seconds.
-  pub fn busy(come_back: std::time::Duration) -> Self {
+  /// Creates the refusal of a request for which no slot is free; `retry_after` is rounded up to
+  /// whole seconds.
+  pub fn busy(retry_after: std::time::Duration) -> Self {
     Self {
       code: Code::RequestSlotsFull,
-      retry_after: come_back.as_millis().div_ceil(1000).max(1) as u32,
+      retry_after: retry_after.as_millis().div_ceil(1000).max(1) as u32,
     }
   }
 
-  /// The status: 503 only where the request was certainly not run, 504 where that is unknown.
+  /// The HTTP status: 503 if the request was certainly not run, 504 if that is unknown.
   pub fn status(self) -> StatusCode {
     match self.code {
       Code::FrameForged => StatusCode::FORBIDDEN,
@@ -47,7 +48,7 @@
     }
   }
 
-  /// The answer's head and body.
+  /// Builds the head and the JSON body.
   pub fn response(self) -> (Response<()>, Bytes) {
     let status = self.status();
     let body = json!({
--- a/src/agent/proxy.rs
+++ b/src/agent/proxy.rs
@@ -1,11 +1,11 @@
 use {
   super::{
     Shared,
-    call::{Call, Writer},
-    guard::Guard,
+    call::{BodyWriter, Call},
+    count_guard::CountGuard,
     home,
     problem::Problem,
-    reply::{Live, Reply},
+    reply::{Reply, Streamed},
     runner, upstream,
   },
   crate::{Code, ledger},
@@ -20,50 +20,51 @@
 type Upload = RequestStream<RecvStream, Bytes>;
 type Download = RequestStream<SendStream<Bytes>, Bytes>;
 
-/// Carries one request of a caller to an upstream and its answer back.
-pub async fn run(
+/// Serves a request: runs it, and sends the answer or a problem to the caller. It is given up when
+/// the caller cancels it.
+pub async fn serve(
   shared: Arc<Shared>,
   caller: SocketAddr,
   request: Request<()>,
   stream: RequestStream<BidiStream<Bytes>, Bytes>,
 ) {
-  let _running = Guard::new(&shared.requests);
+  let _running = CountGuard::new(&shared.requests);
   let (mut download, upload) = stream.split();
-  if let Err(problem) = check(&shared, &request) {
-    return refuse(&shared, &mut download, problem).await;
+  if let Err(problem) = check_length(&shared, &request) {
+    return send_problem(&shared, &mut download, problem).await;
   }
-  let (gone, given_up) = oneshot::channel();
-  let (writer, pieces) = Writer::new();
-  let pieces = Call::has_body(&request).then_some(pieces);
-  let most = shared.settings.request_max;
+  let (cancel, cancelled) = oneshot::channel();
+  let (writer, chunks) = BodyWriter::new();
+  let chunks = Call::has_body(&request).then_some(chunks);
+  let body_max = shared.settings.request_max;
   tokio::spawn(async move {
-    // Read to its end also where no body is expected: a side that is closed early makes the
-    // caller's own end of the request fail.
-    if !feed(upload, writer, most).await {
-      let _ = gone.send(());
+    // Read to the end even if no body is expected: if this side closes the stream early, sending
+    // the request fails for the caller.
+    if !forward_body(upload, writer, body_max).await {
+      let _ = cancel.send(());
     }
   });
   let route = shared.route(request.method().as_str(), request.uri().path());
   let exchange = async {
-    let reply = match Call::new(caller, request, route, pieces).await {
-      Ok(call) => answer(&shared, call).await,
+    let reply = match Call::new(caller, request, route, chunks).await {
+      Ok(call) => run(&shared, call).await,
       Err(problem) => Reply::Problem(problem),
     };
     match reply {
-      Reply::Held(answer) => give_held(&shared, &mut download, answer).await,
-      Reply::Live(live) => give_live(&shared, &mut download, live).await,
-      Reply::Problem(problem) => refuse(&shared, &mut download, problem).await,
+      Reply::Buffered(answer) => send_buffered(&shared, &mut download, answer).await,
+      Reply::Streamed(answer) => send_streamed(&shared, &mut download, answer).await,
+      Reply::Problem(problem) => send_problem(&shared, &mut download, problem).await,
     }
   };
   tokio::select! {
     () = exchange => {}
-    Ok(()) = given_up => shared.counter.count(Code::RequestCancelled),
+    Ok(()) = cancelled => shared.counter.count(Code::RequestCancelled),
   }
 }
 
-/// A request with a key that may not be repeated runs at the key's home; one without a key runs
-/// once, without retries.
-async fn answer(shared: &Arc<Shared>, mut call: Call) -> Reply {
+/// Runs a request: at the home of its idempotency key if it has one and may not be repeated, else
+/// at this agent's upstream or that of a peer.
+async fn run(shared: &Arc<Shared>, mut call: Call) -> Reply {
   if let Err(problem) = upstream::prepare(&mut call) {
     return Reply::Problem(problem);
   }
@@ -73,8 +74,8 @@
   }
 }
 
-/// Whether the request can be run at all.
-fn check(shared: &Shared, request: &Request<()>) -> Result<(), Problem> {
+/// Fails when `Content-Length` is not valid, or larger than the limit.
+fn check_length(shared: &Shared, request: &Request<()>) -> Result<(), Problem> {
   let Some(length) = request.headers().get(header::CONTENT_LENGTH) else {
     return Ok(());
   };
@@ -87,37 +88,37 @@
   }
 }
 
-/// Hands the caller's body on, while somebody reads it; false when the caller gave up before its
-/// end.
-async fn feed(mut upload: Upload, mut writer: Writer, most: u64) -> bool {
+/// Reads the caller's body to its end and forwards it as long as it is needed. A body larger than
+/// `max` bytes is aborted. Returns false if the caller cancelled the request before its end.
+async fn forward_body(mut upload: Upload, mut writer: BodyWriter, max: u64) -> bool {
   let mut total = 0;
-  let mut wanted = true;
+  let mut needed = true;
   loop {
     match upload.recv_data().await {
-      Ok(Some(mut piece)) => {
-        total += piece.remaining() as u64;
-        if total > most {
-          writer.cut().await;
+      Ok(Some(mut chunk)) => {
+        total += chunk.remaining() as u64;
+        if total > max {
+          writer.abort().await;
           upload.stop_sending(Reason::H3_NO_ERROR);
           return true;
         }
-        let piece = piece.copy_to_bytes(piece.remaining());
-        wanted = wanted && writer.add(piece).await;
+        let chunk = chunk.copy_to_bytes(chunk.remaining());
+        needed = needed && writer.send(chunk).await;
       }
       Ok(None) => return true,
       Err(_) => {
-        writer.cut().await;
+        writer.abort().await;
         return false;
       }
     }
   }
 }
 
-async fn give_held(shared: &Shared, download: &mut Download, answer: ledger::Answer) {
+async fn send_buffered(shared: &Shared, download: &mut Download, answer: ledger::Answer) {
   let mut head = Response::new(());
   *head.status_mut() = answer.status;
   *head.headers_mut() = (*answer.headers).clone();
-  upstream::strip(head.headers_mut());
+  upstream::strip_connection_headers(head.headers_mut());
   let sent = download.send_response(head).await.is_ok()
     && download.send_data(answer.body).await.is_ok()
     && download.finish().await.is_ok();
@@ -126,21 +127,21 @@
   }
 }
 
-/// Hands the answer to the caller. One that the upstream cuts is cut for the caller too, never
-/// ended as if it were whole.
-async fn give_live(shared: &Shared, download: &mut Download, mut live: Live) {
-  let (status, headers) = live.head();
+/// Sends an answer to the caller while it is received. If it ends early, the stream to the caller
+/// is reset, so that the caller does not take it for complete.
+async fn send_streamed(shared: &Shared, download: &mut Download, mut answer: Streamed) {
+  let (status, headers) = answer.head();
   let mut head = Response::new(());
   *head.status_mut() = status;
   *head.headers_mut() = headers;
-  upstream::strip(head.headers_mut());
+  upstream::strip_connection_headers(head.headers_mut());
   if download.send_response(head).await.is_err() {
     return shared.counter.count(Code::RequestCancelled);
   }
   loop {
-    match live.piece().await {
-      Ok(Some(piece)) => {
-        if download.send_data(piece).await.is_err() {
+    match answer.next_chunk().await {
+      Ok(Some(chunk)) => {
+        if download.send_data(chunk).await.is_err() {
           return shared.counter.count(Code::RequestCancelled);
         }
       }
@@ -154,7 +155,7 @@
   let _ = download.finish().await;
 }
 
-async fn refuse(shared: &Shared, download: &mut Download, problem: Problem) {
+async fn send_problem(shared: &Shared, download: &mut Download, problem: Problem) {
   shared.counter.count(problem.code);
   let (head, body) = problem.response();
   if download.send_response(head).await.is_ok() && download.send_data(body).await.is_ok() {
--- a/src/agent/reply.rs
+++ b/src/agent/reply.rs
@@ -11,30 +11,31 @@
   },
 };
 
-/// An answer that goes on for longer is a feed: it no longer takes a slot.
-const FEED: Duration = Duration::from_secs(1);
+/// The time after which an unfinished answer gives back its slot, since it may be a feed.
+const SLOT_TIME_MAX: Duration = Duration::from_secs(1);
 
-/// What a request ends in.
+/// The reply to a request.
 #[derive(Debug)]
 pub enum Reply {
-  /// An answer that is held.
-  Held(ledger::Answer),
-  /// An answer that comes from the upstream, with the slot that it takes.
-  Live(Live),
-  /// A final answer of the agent's own.
+  /// A complete answer, kept by the ledger.
+  Buffered(ledger::Answer),
+  /// An answer that is still being received from the upstream or a peer.
+  Streamed(Streamed),
+  /// The agent's own answer that the request failed.
   Problem(Problem),
 }
 
-/// An answer that comes from the upstream.
+/// An answer that is still being received, with the slot that it takes.
 #[derive(Debug)]
-pub struct Live {
+pub struct Streamed {
   answer: Answer,
   since: Instant,
   slot: Option<Slot>,
 }
 
-impl Live {
-  /// An answer and the slot that it takes, here or at none.
+impl Streamed {
+  /// Creates it from an answer. The slot is that of this agent's upstream; none for a feed, or if
+  /// the request ran at a peer.
   pub fn new(answer: Answer, slot: Option<Slot>) -> Self {
     Self {
       answer,
@@ -43,25 +44,26 @@
     }
   }
 
-  /// The answer's head, without its body.
+  /// The status and the headers.
   pub fn head(&self) -> (StatusCode, HeaderMap) {
     let response = &self.answer.response;
     (response.status(), response.headers().clone())
   }
 
-  /// The next piece of the body; none at its end, an error when the upstream cut it.
-  pub async fn piece(&mut self) -> Result<Option<Bytes>, hyper::Error> {
-    let piece = if let Ok(piece) = tokio::time::timeout(FEED, self.answer.piece()).await {
-      piece
-    } else {
-      self.slot = None;
-      self.answer.piece().await
-    };
-    self.release();
-    piece
+  /// The next chunk of the body; none at its end. Fails when the connection ends before the body.
+  pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, hyper::Error> {
+    let chunk =
+      if let Ok(chunk) = tokio::time::timeout(SLOT_TIME_MAX, self.answer.next_chunk()).await {
+        chunk
+      } else {
+        self.slot = None;
+        self.answer.next_chunk().await
+      };
+    self.release_slot();
+    chunk
   }
 
-  /// The answer as a response whose body holds the slot and the connection.
+  /// Converts the answer to a response whose body owns the slot and the connection.
   pub fn response(self) -> Response<Self> {
     let (status, headers) = self.head();
     let mut response = Response::new(self);
@@ -70,14 +72,15 @@
     response
   }
 
-  fn release(&mut self) {
-    if self.since.elapsed() >= FEED {
+  /// Gives back the slot once the answer has taken too long.
+  fn release_slot(&mut self) {
+    if self.since.elapsed() >= SLOT_TIME_MAX {
       self.slot = None;
     }
   }
 }
 
-impl Body for Live {
+impl Body for Streamed {
   type Data = Bytes;
   type Error = hyper::Error;
 
@@ -85,7 +88,7 @@
     mut self: Pin<&mut Self>,
     context: &mut Context,
   ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-    self.release();
+    self.release_slot();
     let body: &mut Incoming = self.answer.response.body_mut();
     Pin::new(body).poll_frame(context)
   }
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -21,13 +21,14 @@
   },
 };
 
-/// How often a departing agent looks whether its flows are gone.
-const STEP: Duration = Duration::from_millis(50);
+/// The interval at which a draining agent checks whether its flows and requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a leaving agent stays at least, so that balancers learn of it.
-const NOTICE: Duration = Duration::from_secs(1);
+/// The shortest time that an agent drains, so that balancers learn that it is leaving.
+const DRAIN_MIN: Duration = Duration::from_secs(1);
 
-/// Runs an agent until it is told to stop and its flows are gone.
+/// Runs an agent until a stop signal, then drains and stops it. Fails when a part cannot start or
+/// keeps failing.
 pub fn run(settings: &settings::Agent) -> Result<(), Fault> {
   logging::start(&settings.log)?;
   let counter = Arc::new(Counter::default());
@@ -41,12 +42,12 @@
   while process.wait()? == Signal::Reload {
     shared.reload.store(true, Ordering::Relaxed);
   }
-  depart(&shared);
+  drain(&shared);
   process.tree.stop();
   Ok(())
 }
 
-/// Starts an agent's parts.
+/// Starts the threads of an agent under `tree`.
 pub fn start(
   settings: &settings::Agent,
   counter: &Arc<Counter>,
@@ -90,20 +91,21 @@
   listener.map_err(|error| Fault::new(Code::AddressUnavailable, format!("{address}: {error}")))
 }
 
-/// Takes nothing new, asks the callers to move, and waits until they have or their time is over.
-fn depart(shared: &Shared) {
-  let drain = shared.service().map_or(0, |service| service.drain_s);
-  let begun = Instant::now();
-  shared.departing.store(true, Ordering::Relaxed);
-  log::info!("agent: leaving, for {drain} s at most.");
+/// Stops accepting flows and requests, and waits until the open ones have ended, for `drain_s` at
+/// most.
+fn drain(shared: &Shared) {
+  let drain_s = shared.service().map_or(0, |service| service.drain_s);
+  let start = Instant::now();
+  shared.stopping.store(true, Ordering::Relaxed);
+  log::info!("agent: draining for at most {drain_s} s.");
   loop {
-    thread::sleep(STEP);
+    thread::sleep(POLL_INTERVAL);
     let open = shared.flows.load(Ordering::Relaxed) + shared.requests.load(Ordering::Relaxed);
-    if open == 0 && begun.elapsed() >= NOTICE {
+    if open == 0 && start.elapsed() >= DRAIN_MIN {
       return;
     }
-    if begun.elapsed() >= Duration::from_secs(drain).max(NOTICE) {
-      log::warn!("agent: {open} flows and requests are left after {drain} s.");
+    if start.elapsed() >= Duration::from_secs(drain_s).max(DRAIN_MIN) {
+      log::warn!("agent: stopping with {open} open flows and requests after {drain_s} s.");
       return;
     }
   }
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -4,7 +4,7 @@
     call::Call,
     handoff::{self, Mode},
     problem::Problem,
-    reply::{Live, Reply},
+    reply::{Reply, Streamed},
     upstream::{self, Failure},
   },
   crate::{Code, id, routing::Hop},
@@ -13,50 +13,51 @@
   xxhash_rust::xxh3::Xxh3,
 };
 
-/// How many peers are asked to run a request before it waits here.
-const PEERS_ASKED: usize = 2;
+/// The most peers to which a request is offered before it waits for a slot of this agent.
+const PEERS_TRIED_MAX: usize = 2;
 
-/// How long a peer that had no free slot is not asked again.
-const BUSY: Duration = Duration::from_millis(20);
+/// How long a peer without a free slot is avoided. After failures it is a multiple of this.
+const AVOID_BUSY: Duration = Duration::from_millis(20);
 
-/// Runs a call once, here or at a peer that has a free slot; one that may be repeated is tried
-/// again elsewhere when its upstream fails, within the budget.
+/// Runs a call at this agent's upstream or at a peer with a free slot. If the upstream fails, a
+/// repeatable call is retried once at a peer, within the budget of retries.
 pub async fn run(shared: &Arc<Shared>, call: Call) -> Reply {
   shared.budget().add_attempt();
-  let again = if call.route.repeatable {
-    call.copy()
+  let retry = if call.route.repeatable {
+    call.try_clone()
   } else {
     None
   };
   let reply = run_once(shared, call).await;
-  let Some(again) = again else {
+  let Some(retry) = retry else {
     return reply;
   };
-  if !has_failed(&reply) || !shared.budget().take_retry() {
+  if !is_retryable(&reply) || !shared.budget().take_retry() {
     return reply;
   }
   shared.counter.add("requests.retried", 1);
-  match hand_to_peers(shared, &again).await {
-    Some(other) => other,
+  match hand_off_to_peers(shared, &retry).await {
+    Some(retried) => retried,
     None => reply,
   }
 }
 
-/// Runs a call that a peer has handed over: here and now, or not at all.
-pub async fn run_here(shared: &Arc<Shared>, call: Call) -> Reply {
+/// Runs a call that a peer handed off, if a slot is free now.
+pub async fn run_handed_off(shared: &Arc<Shared>, call: Call) -> Reply {
   if shared.is_leaving() {
     return Reply::Problem(Problem::new(Code::RequestTargetLeaving));
   }
   run_local(shared, call, false).await
 }
 
+/// Runs a call without retries. A leaving agent only hands it off.
 async fn run_once(shared: &Arc<Shared>, call: Call) -> Reply {
   let leaving = shared.is_leaving();
-  if !leaving && (call.stays || shared.slots.is_free()) {
+  if !leaving && (call.local_only || shared.slots.is_free()) {
     return run_local(shared, call, true).await;
   }
-  if !call.stays
-    && let Some(reply) = hand_to_peers(shared, &call).await
+  if !call.local_only
+    && let Some(reply) = hand_off_to_peers(shared, &call).await
   {
     return reply;
   }
@@ -69,67 +70,68 @@
   run_local(shared, call, true).await
 }
 
+/// Runs a call at this agent's upstream. `waits` tells whether it may wait for a slot.
 async fn run_local(shared: &Arc<Shared>, call: Call, waits: bool) -> Reply {
   let mut slot = None;
   if !call.route.feed {
-    let caller = caller(call.caller);
-    match shared.slots.enter(caller, call.start_by, waits).await {
+    let caller = hash_caller(call.caller);
+    match shared.slots.acquire(caller, call.start_by, waits).await {
       Ok(entered) => slot = Some(entered),
-      Err(come_back) => return Reply::Problem(Problem::busy(come_back)),
+      Err(retry_after) => return Reply::Problem(Problem::busy(retry_after)),
     }
   }
   if call.remaining().is_zero() {
     return Reply::Problem(Problem::new(Code::RequestDeadline));
   }
   let weight = call.route.weight;
-  shared.count_work(weight);
+  shared.add_work(weight);
   match upstream::send(shared.settings.upstream, None, call).await {
-    Ok(answer) => Reply::Live(Live::new(answer, slot)),
-    Err(Failure::Dead | Failure::Unreachable) => {
-      shared.uncount_work(weight);
+    Ok(answer) => Reply::Streamed(Streamed::new(answer, slot)),
+    Err(Failure::Refused | Failure::Unreachable) => {
+      shared.subtract_work(weight);
       Reply::Problem(Problem::new(Code::RequestUpstreamUnreachable))
     }
     Err(Failure::Unknown) => Reply::Problem(Problem::new(Code::RequestOutcomeUnknown)),
   }
 }
 
-/// Hands copies of a call to peers, one after another, until one runs it; none when none does.
-async fn hand_to_peers(shared: &Arc<Shared>, call: &Call) -> Option<Reply> {
-  for peer in peers(shared).into_iter().take(PEERS_ASKED) {
-    if let Some(reply) = hand_off(shared, peer, call.copy()?).await {
+/// Hands copies of a call off to peers, one after another, until one runs it; none if no peer does.
+async fn hand_off_to_peers(shared: &Arc<Shared>, call: &Call) -> Option<Reply> {
+  for peer in candidate_peers(shared).into_iter().take(PEERS_TRIED_MAX) {
+    if let Some(reply) = hand_off(shared, peer, call.try_clone()?).await {
       return Some(reply);
     }
   }
   None
 }
 
-/// Hands a call to a peer; none when that peer certainly does not run it.
+/// Hands a call off to a peer; none if the peer has certainly not run it.
 async fn hand_off(shared: &Arc<Shared>, peer: Hop, call: Call) -> Option<Reply> {
   match handoff::send(shared, peer, call, &Mode::Run).await {
-    Ok(answer) => match handoff::code(&answer) {
+    Ok(answer) => match handoff::result_code(&answer) {
       Some(Code::RequestSlotsFull | Code::RequestTargetLeaving) => {
-        shared.avoid(peer.target, BUSY);
+        shared.avoid(peer.target, AVOID_BUSY);
         None
       }
       Some(Code::RequestUpstreamUnreachable | Code::RequestDeadline) => {
-        shared.avoid(peer.target, BUSY * 10);
+        shared.avoid(peer.target, AVOID_BUSY * 10);
         None
       }
       _ => {
         shared.counter.add("requests.handed_off", 1);
-        Some(Reply::Live(Live::new(answer, None)))
+        Some(Reply::Streamed(Streamed::new(answer, None)))
       }
     },
-    Err(Failure::Dead | Failure::Unreachable) => {
-      shared.avoid(peer.target, BUSY * 50);
+    Err(Failure::Refused | Failure::Unreachable) => {
+      shared.avoid(peer.target, AVOID_BUSY * 50);
       None
     }
     Err(Failure::Unknown) => Some(Reply::Problem(Problem::new(Code::RequestOutcomeUnknown))),
   }
 }
 
-/// The other targets that may take work, in random order, without those that were busy just now.
-fn peers(shared: &Shared) -> Vec<Hop> {
+/// The other targets that are neither leaving nor avoided, in random order.
+fn candidate_peers(shared: &Shared) -> Vec<Hop> {
   let Some(service) = shared.service() else {
     return Vec::new();
   };
@@ -137,7 +139,7 @@
   let others = service
     .targets
     .iter()
-    .filter(|target| target.id != own && !target.leaving && !shared.avoids(target.id));
+    .filter(|target| target.id != own && !target.leaving && !shared.is_avoided(target.id));
   let mut peers = others
     .map(|target| Hop {
       address: target.agent,
@@ -148,12 +150,12 @@
   peers
 }
 
-/// Whether the upstream has failed in a way that another may not. What was shed has been offered to
-/// peers already.
-fn has_failed(reply: &Reply) -> bool {
+/// Whether the upstream failed and another may succeed. Requests refused for lack of a slot are
+/// excluded, since they have already been offered to peers.
+fn is_retryable(reply: &Reply) -> bool {
   match reply {
-    Reply::Held(_) => false,
-    Reply::Live(live) => matches!(live.head().0.as_u16(), 502..=504),
+    Reply::Buffered(_) => false,
+    Reply::Streamed(answer) => matches!(answer.head().0.as_u16(), 502..=504),
     Reply::Problem(problem) => matches!(
       problem.code,
       Code::RequestOutcomeUnknown | Code::RequestUpstreamUnreachable
@@ -161,7 +163,7 @@
   }
 }
 
-fn caller(address: SocketAddr) -> u64 {
+fn hash_caller(address: SocketAddr) -> u64 {
   let mut hasher = Xxh3::new();
   hasher.write(address.to_string().as_bytes());
   hasher.finish()
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -26,60 +26,63 @@
   tokio::sync::watch,
 };
 
-/// How many packets wait for the transport; more are dropped, as a full socket would.
-const QUEUE: usize = 8192;
+/// The most packets queued for the transport; more are dropped, as by a full socket buffer.
+const QUEUED_MAX: usize = 8192;
 
-/// A caller's packet for the transport.
+/// A caller's packet that is queued for the transport.
 #[derive(Debug)]
 pub struct Delivery {
-  /// Who sent it.
+  /// The caller's address.
   pub caller: SocketAddr,
-  /// The packet.
+  /// The packet without the frame's header.
   pub packet: Vec<u8>,
 }
 
-/// What the parts of an agent share.
+/// The state that the threads of an agent share.
 #[derive(Debug)]
 pub struct Shared {
-  /// The counts.
+  /// The counters of the process.
   pub counter: Arc<Counter>,
-  /// Set once the process was told to stop.
-  pub departing: AtomicBool,
-  /// The flows that are open.
+  /// Whether the process has been asked to stop.
+  pub stopping: AtomicBool,
+  /// The number of open flows.
   pub flows: AtomicU32,
-  /// Where peers hand calls over. It is bound before the process is ready, since a home that
-  /// refuses connections counts as dead.
+  /// The listener for requests that peers hand off. It is bound before the process is ready, since
+  /// peers take a refused connection for a dead process.
   pub handoffs: TcpListener,
-  /// Set while callers are served.
+  /// Whether the agent accepts flows.
   pub serving: AtomicBool,
-  /// The work that the upstream was given, by weight, for the measure of imbalance.
+  /// The total weight of the requests sent to the upstream, used to measure the
+  /// imbalance between targets.
   pub work: AtomicU64,
-  /// This run of the agent.
+  /// The incarnation of this agent, drawn at random.
   pub incarnation: id::Incarnation,
-  /// Set while nothing new is taken.
+  /// Whether the target is leaving: draining, without new flows.
   pub leaving: watch::Sender<bool>,
-  /// Packets for the transport.
+  /// The packets queued for the transport.
   pub queue: ArrayQueue<Delivery>,
-  /// Set when the certificate is to be read again.
+  /// Whether the certificate is to be reloaded.
   pub reload: AtomicBool,
-  /// The requests that run.
+  /// The number of requests in progress.
   pub requests: AtomicU32,
-  /// The settings.
+  /// The agent's settings.
   pub settings: settings::Agent,
   /// The upstream's slots.
   pub slots: Slots,
-  /// When this run began.
+  /// When this incarnation started.
   pub started: Instant,
-  /// The socket that frames come and go by.
+  /// The socket for frames.
   pub tunnel: Socket,
-  /// Wakes the transport.
+  /// Wakes the transport when packets have been queued.
   pub waker: AtomicWaker,
+  /// Peers to which no requests are handed off, with the time until when.
   avoided: Mutex<HashMap<id::Target, Instant>>,
   budget: Mutex<Budget>,
   ledger: Mutex<ledger::Machine>,
   path: Mutex<Path>,
-  /// The revisions of the service and when each came into force in this run.
-  changes: Mutex<VecDeque<(Revision, Instant)>>,
+  /// The revisions of the service and when each came into force in this incarnation.
+  revisions: Mutex<VecDeque<(Revision, Instant)>>,
+  /// Notifies those that wait for the outcome of a running request, by its key.
   running: Mutex<HashMap<u128, watch::Sender<Option<Outcome>>>>,
   service: RwLock<Option<(Revision, Arc<config::Service>)>>,
   table: RwLock<Option<Arc<Table>>>,
@@ -87,7 +90,7 @@
 }
 
 impl Shared {
-  /// What the parts of an agent with these settings share.
+  /// Creates the state of an agent that is neither ready nor leaving.
   pub fn new(
     settings: settings::Agent,
     tunnel: Socket,
@@ -97,16 +100,16 @@
     Arc::new(Self {
       avoided: Mutex::default(),
       budget: Mutex::default(),
-      changes: Mutex::default(),
+      revisions: Mutex::default(),
       counter,
-      departing: AtomicBool::new(false),
+      stopping: AtomicBool::new(false),
       flows: AtomicU32::new(0),
       handoffs,
       incarnation: id::Incarnation(rand::random()),
       leaving: watch::Sender::new(false),
       ledger: Mutex::new(ledger::Machine::new(ledger::Settings::default())),
       path: Mutex::default(),
-      queue: ArrayQueue::new(QUEUE),
+      queue: ArrayQueue::new(QUEUED_MAX),
       reload: AtomicBool::new(false),
       requests: AtomicU32::new(0),
       running: Mutex::default(),
@@ -123,52 +126,53 @@
     })
   }
 
-  /// Passes a peer over for a while.
-  pub fn avoid(&self, peer: id::Target, time: Duration) {
-    lock(&self.avoided).insert(peer, Instant::now() + time);
+  /// Hands no requests off to a peer for this time.
+  pub fn avoid(&self, peer: id::Target, duration: Duration) {
+    lock(&self.avoided).insert(peer, Instant::now() + duration);
   }
 
-  /// Whether a peer is passed over now.
-  pub fn avoids(&self, peer: id::Target) -> bool {
+  /// Whether no requests are handed off to a peer for now.
+  pub fn is_avoided(&self, peer: id::Target) -> bool {
     let until = lock(&self.avoided).get(&peer).copied();
     until.is_some_and(|until| Instant::now() < until)
   }
 
-  /// What may be tried again.
+  /// The budget of retries.
   pub fn budget(&self) -> MutexGuard<'_, Budget> {
     lock(&self.budget)
   }
 
-  /// The upstream is given work of a weight.
-  pub fn count_work(&self, weight: u32) {
+  /// Adds the weight of a request that is sent to the upstream.
+  pub fn add_work(&self, weight: u32) {
     self.work.fetch_add(weight.into(), Ordering::Relaxed);
   }
 
-  /// All that may have been the key's home within the window, by the target sets known; this
-  /// target among them where it was.
+  /// The targets, which may include this one, that may have been the key's home within the repeat
+  /// window, according to the known target sets.
   pub fn earlier_homes(&self, key: u128) -> BTreeSet<id::Target> {
     let Some(table) = self.table() else {
       return BTreeSet::new();
     };
-    table.first_candidates(home::rank_key(key), self.changed_within_window())
+    table.first_candidates(home::rank_key(key), self.oldest_within_window())
   }
 
-  /// Decides over a request with a key, and makes the place where its answer is waited for.
-  pub fn enter_key(&self, key: u128, event: Event) -> (Action, home::Waiters) {
+  /// Decides about a request with an idempotency key and returns a receiver for its outcome. Both
+  /// happen under the lock of the ledger, so that the outcome cannot be missed.
+  pub fn admit_key(&self, key: u128, event: Event) -> (Action, home::OutcomeReceiver) {
     let mut ledger = self.ledger();
     let action = ledger.step(Instant::now(), event);
     let mut running = lock(&self.running);
     if action == Action::Run {
       running.insert(key, watch::Sender::new(None));
     }
-    let waiters = match running.get(&key) {
+    let receiver = match running.get(&key) {
       Some(sender) => sender.subscribe(),
       None => watch::Sender::new(Some(Outcome::Unknown)).subscribe(),
     };
-    (action, waiters)
+    (action, receiver)
   }
 
-  /// The request with a key has ended: those that wait for it are told.
+  /// Records the outcome of the request with this key and notifies those that wait for it.
   pub fn finish_key(&self, key: u128, outcome: Outcome) {
     let mut ledger = self.ledger();
     ledger.step(Instant::now(), Event::Finished(key, outcome.clone()));
@@ -177,62 +181,63 @@
     }
   }
 
-  /// Whether this run began within the repeat window, so that an earlier one may have run a key.
-  pub fn has_just_started(&self) -> bool {
-    self.started.elapsed() < self.window()
+  /// Whether this incarnation started within the repeat window, so that a previous one may have run
+  /// a key.
+  pub fn has_started_within_window(&self) -> bool {
+    self.started.elapsed() < self.repeat_window()
   }
 
-  /// Whether nothing new is taken.
+  /// Whether the target is leaving, and so starts no new requests.
   pub fn is_leaving(&self) -> bool {
     *self.leaving.borrow()
   }
 
-  /// The key's home, without those already tried.
+  /// The key's home if those already tried are left out; none if no target is left.
   pub fn home(&self, key: u128, tried: &[id::Target]) -> Option<Hop> {
     home::find(self.table()?.as_ref(), key, tried)
   }
 
-  /// What the keys of requests may do next.
+  /// The ledger of idempotency keys.
   pub fn ledger(&self) -> MutexGuard<'_, ledger::Machine> {
     lock(&self.ledger)
   }
 
-  /// The targets in force and those of earlier sets.
+  /// The routing table with the current and earlier target sets; none while no service is in force.
   pub fn table(&self) -> Option<Arc<Table>> {
     let table = self.table.read().unwrap_or_else(PoisonError::into_inner);
     table.clone()
   }
 
-  /// Takes a table into force.
+  /// Replaces the routing table and records when its revision came into force.
   pub fn set_table(&self, table: Option<Arc<Table>>) {
-    let mut held = self.table.write().unwrap_or_else(PoisonError::into_inner);
-    let mut changes = lock(&self.changes);
+    let mut current = self.table.write().unwrap_or_else(PoisonError::into_inner);
+    let mut revisions = lock(&self.revisions);
     if let Some(table) = &table
-      && changes
+      && revisions
         .back()
         .is_none_or(|(revision, _)| *revision < table.revision())
     {
-      changes.push_back((table.revision(), Instant::now()));
-      if changes.len() > 2 * HISTORY_LIMIT {
-        changes.pop_front();
+      revisions.push_back((table.revision(), Instant::now()));
+      if revisions.len() > 2 * HISTORY_LIMIT {
+        revisions.pop_front();
       }
     }
-    *held = table;
+    *current = table;
   }
 
-  /// The oldest revision that was replaced within the repeat window; all where this run has not
-  /// seen the whole window.
-  fn changed_within_window(&self) -> Revision {
-    if self.has_just_started() {
+  /// The oldest revision that was in force within the repeat window; the lowest possible one while
+  /// this incarnation is younger than the window.
+  fn oldest_within_window(&self) -> Revision {
+    if self.has_started_within_window() {
       return Revision::default();
     }
-    let window = self.window();
-    let changes = lock(&self.changes);
+    let window = self.repeat_window();
+    let revisions = lock(&self.revisions);
     let mut oldest = None;
     let mut replaced_at = None;
-    for (revision, at) in changes.iter().rev() {
-      let counts = replaced_at.is_none_or(|replaced: Instant| replaced.elapsed() < window);
-      if !counts {
+    for (revision, at) in revisions.iter().rev() {
+      let is_within = replaced_at.is_none_or(|replaced: Instant| replaced.elapsed() < window);
+      if !is_within {
         break;
       }
       oldest = Some(*revision);
@@ -241,17 +246,18 @@
     oldest.unwrap_or_default()
   }
 
-  /// The upstream could not be given the work after all.
-  pub fn uncount_work(&self, weight: u32) {
+  /// Subtracts the weight of a request that the upstream could not be sent after all.
+  pub fn subtract_work(&self, weight: u32) {
     self.work.fetch_sub(weight.into(), Ordering::Relaxed);
   }
 
-  fn window(&self) -> Duration {
+  /// The repeat window of the service; that of the default while none is in force.
+  fn repeat_window(&self) -> Duration {
     let service = self.service();
     Duration::from_secs(service.map_or(600, |service| service.repeat_window_s))
   }
 
-  /// How busy the target is, in 1/255.
+  /// The load that the target reports, in 1/255 of its flow limit.
   pub fn load(&self) -> u8 {
     let service = self.service();
     let target = service
@@ -268,13 +274,13 @@
     )
   }
 
-  /// Where answers leave.
+  /// The balancers through which answers are sent.
   pub fn path(&self) -> MutexGuard<'_, Path> {
     lock(&self.path)
   }
 
-  /// What the operator says of a request; the first route that fits counts. Where none does, the
-  /// request may be a feed, and stays here as one.
+  /// The first route that matches a request. Without one the request could be a feed, so it must
+  /// run at this agent's upstream.
   pub fn route(&self, method: &str, path: &str) -> Option<Route> {
     let service = self.service();
     let routes = service.as_ref().map_or(&[][..], |service| &service.routes);
@@ -284,30 +290,30 @@
       .cloned()
   }
 
-  /// The revision of the service in force.
+  /// The revision of the service in force, if any.
   pub fn revision(&self) -> Option<Revision> {
     let service = self.service.read().unwrap_or_else(PoisonError::into_inner);
     service.as_ref().map(|(revision, _)| *revision)
   }
 
-  /// The service in force.
+  /// The service in force, if any.
   pub fn service(&self) -> Option<Arc<config::Service>> {
     let service = self.service.read().unwrap_or_else(PoisonError::into_inner);
     service.as_ref().map(|(_, service)| Arc::clone(service))
   }
 
-  /// Takes a service into force.
+  /// Replaces the service in force.
   pub fn set_service(&self, service: Option<(Revision, Arc<config::Service>)>) {
     *self.service.write().unwrap_or_else(PoisonError::into_inner) = service;
   }
 
-  /// Makes and checks tags; none while no keyring is in force.
+  /// Creates and verifies tags; none while no keyring is in force.
   pub fn tagger(&self) -> Option<Arc<Tagger>> {
     let tagger = self.tagger.read().unwrap_or_else(PoisonError::into_inner);
     tagger.clone()
   }
 
-  /// Takes a keyring into force.
+  /// Replaces the tagger when another keyring comes into force.
   pub fn set_tagger(&self, tagger: Option<Arc<Tagger>>) {
     *self.tagger.write().unwrap_or_else(PoisonError::into_inner) = tagger;
   }
--- a/src/agent/slots.rs
+++ b/src/agent/slots.rs
@@ -8,13 +8,13 @@
   tokio::sync::oneshot,
 };
 
-/// How often waiting requests are looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// The interval at which waiting requests are checked against their deadlines.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether a request starts, or when it is to come back.
-type Word = Result<(), Duration>;
+/// The decision about a request: it starts, or the time after which it may be retried.
+type Admission = Result<(), Duration>;
 
-/// The slots of the upstream beside, with the requests that wait for them.
+/// The slots of the agent's upstream and the queue of requests that wait for one.
 #[derive(Debug)]
 pub struct Slots(Arc<Mutex<Inner>>);
 
@@ -22,10 +22,10 @@
 struct Inner {
   machine: Machine,
   next: u64,
-  waiting: HashMap<Ticket, oneshot::Sender<Word>>,
+  waiting: HashMap<Ticket, oneshot::Sender<Admission>>,
 }
 
-/// A slot that is held; it is free again when this is dropped.
+/// A slot that is taken until this is dropped.
 #[derive(Debug)]
 pub struct Slot {
   inner: Arc<Mutex<Inner>>,
@@ -43,8 +43,15 @@
 }
 
 impl Slots {
-  /// Waits for a slot, if it may; what is refused is told when to come back, at once.
-  pub async fn enter(&self, caller: u64, start_by: Instant, waits: bool) -> Result<Slot, Duration> {
+  /// Takes a slot. If none is free and `waits` is set, waits for one until `start_by`.
+  ///
+  /// Fails with the time after which the request may be retried.
+  pub async fn acquire(
+    &self,
+    caller: u64,
+    start_by: Instant,
+    waits: bool,
+  ) -> Result<Slot, Duration> {
     let (sender, receiver) = oneshot::channel();
     let slot = {
       let mut inner = lock(&self.0);
@@ -63,33 +70,33 @@
         ticket,
       }
     };
-    // The slot is given back when this is dropped while it waits, or when it is refused.
+    // `slot` ends the request in the machine if this future is cancelled or the request refused.
     match receiver.await {
       Ok(Ok(())) => Ok(slot),
-      Ok(Err(come_back)) => Err(come_back),
+      Ok(Err(retry_after)) => Err(retry_after),
       Err(_) => Err(Duration::ZERO),
     }
   }
 
-  /// Whether a request would start at once.
+  /// Whether a request would start without waiting.
   pub fn is_free(&self) -> bool {
     lock(&self.0).machine.is_free()
   }
 
-  /// How many requests run, and how many wait.
+  /// The number of running requests, and of waiting ones.
   pub fn size(&self) -> (usize, usize) {
     lock(&self.0).machine.size()
   }
 
-  /// Takes the operator's number of slots into force.
-  pub fn set(&self, slots: usize) {
+  /// Sets the number of slots.
+  pub fn set_count(&self, slots: usize) {
     lock(&self.0).machine.set_slots(slots);
   }
 
-  /// Tells waiting requests at once when their time is over.
-  pub async fn run(&self) {
+  /// Refuses waiting requests once their deadline has passed; runs until it is cancelled.
+  pub async fn expire_waiting(&self) {
     loop {
-      tokio::time::sleep(TICK).await;
+      tokio::time::sleep(POLL_INTERVAL).await;
       let mut inner = lock(&self.0);
       if inner.machine.size().1 > 0 {
         inner.step(Event::Tick);
@@ -99,15 +106,16 @@
 }
 
 impl Inner {
+  /// Feeds an event to the machine and notifies the requests that it decides about.
   fn step(&mut self, event: Event) {
     for action in self.machine.step(Instant::now(), event) {
-      let (ticket, word) = match action {
-        Action::Shed(ticket, come_back) => (ticket, Err(come_back)),
+      let (ticket, admission) = match action {
+        Action::Shed(ticket, retry_after) => (ticket, Err(retry_after)),
         Action::Start(ticket) => (ticket, Ok(())),
         Action::Wait(_) => continue,
       };
       if let Some(sender) = self.waiting.remove(&ticket) {
-        let _ = sender.send(word);
+        let _ = sender.send(admission);
       }
     }
   }
--- a/src/agent/tls.rs
+++ b/src/agent/tls.rs
@@ -10,25 +10,28 @@
   std::{sync::Arc, time::Duration},
 };
 
-/// A flow without a sign of its caller for so long is ended.
-const IDLE_MS: u32 = 60_000;
+/// The idle timeout of a flow, in milliseconds.
+const IDLE_TIMEOUT_MS: u32 = 60_000;
 
-/// How often a quiet flow is kept alive.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+/// The interval between keep-alive packets on an idle flow.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The largest packet that is tried: an Ethernet frame less the tunnel's header.
+/// The upper bound of path MTU discovery: an Ethernet frame minus the tunnel's headers.
 const MTU_MAX: u16 = 1350;
 
-/// How many requests of one caller run at once. The transport takes memory for each ahead.
-const STREAMS: u32 = 32;
+/// The most concurrent requests of one flow. The transport allocates memory for each in advance.
+const REQUEST_STREAMS_MAX: u32 = 32;
 
-/// How many one-way streams a caller may open: HTTP/3 needs three, and some are greased.
-const ONE_WAY_STREAMS: u32 = 8;
+/// The most unidirectional streams that a caller may open: HTTP/3 needs three, and some callers
+/// open more of reserved types (GREASE).
+const UNI_STREAMS_MAX: u32 = 8;
 
-/// Reads the certificate and the key, and makes the transport's settings of them.
-pub fn server(shared: &Shared) -> Result<ServerConfig, Fault> {
+/// Builds the QUIC server configuration with the certificate and the key, read from their files.
+///
+/// Fails with `TlsInvalid` when one of them cannot be read or they do not match.
+pub fn server_config(shared: &Shared) -> Result<ServerConfig, Fault> {
   let settings = &shared.settings;
-  let invalid = |what: &dyn std::fmt::Display| Fault::new(Code::TlsInvalid, what);
+  let invalid = |detail: &dyn std::fmt::Display| Fault::new(Code::TlsInvalid, detail);
   let chain = CertificateDer::pem_file_iter(&settings.certificate)
     .and_then(Iterator::collect::<Result<Vec<_>, _>>)
     .map_err(|error| invalid(&format!("{}: {error}", settings.certificate.display())))?;
@@ -42,26 +45,26 @@
   tls.alpn_protocols = vec![b"h3".to_vec()];
   let crypto = QuicServerConfig::try_from(tls).map_err(|error| invalid(&error))?;
   let mut config = ServerConfig::with_crypto(Arc::new(crypto));
-  config.transport_config(Arc::new(transport()));
+  config.transport_config(Arc::new(transport_config()));
   Ok(config)
 }
 
-fn transport() -> TransportConfig {
+fn transport_config() -> TransportConfig {
   let mut mtu = MtuDiscoveryConfig::default();
   mtu.upper_bound(MTU_MAX);
   let mut transport = TransportConfig::default();
   transport
-    .keep_alive_interval(Some(KEEP_ALIVE))
-    .max_concurrent_bidi_streams(VarInt::from_u32(STREAMS))
-    .max_concurrent_uni_streams(VarInt::from_u32(ONE_WAY_STREAMS))
-    .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_MS))))
+    .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
+    .max_concurrent_bidi_streams(VarInt::from_u32(REQUEST_STREAMS_MAX))
+    .max_concurrent_uni_streams(VarInt::from_u32(UNI_STREAMS_MAX))
+    .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))))
     .mtu_discovery_config(Some(mtu));
   transport
 }
 
-/// The endpoint's settings. The key of stateless resets is the same in every run of a target, so
-/// that a new run can tell the callers of the former that their flows are gone.
-pub fn endpoint(secret: &[u8; 16], shared: &Shared) -> EndpointConfig {
+/// Builds the QUIC endpoint configuration. The stateless reset key is the same for every
+/// incarnation of a target, so that callers accept resets of flows of a previous incarnation.
+pub fn endpoint_config(secret: &[u8; 16], shared: &Shared) -> EndpointConfig {
   let settings = &shared.settings;
   let mut bytes = secret.to_vec();
   bytes.extend(settings.service.0.to_be_bytes());
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -22,19 +22,19 @@
   },
 };
 
-/// How often the thread looks for news.
-const STEP: Duration = Duration::from_millis(50);
+/// The interval at which the thread applies new views and does periodic work.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the state is posted.
-const POST: Duration = Duration::from_millis(250);
+/// The interval between updates of the state dump.
+const DUMP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often what was not seen for long is forgotten.
-const EXPIRY: Duration = Duration::from_secs(5);
+/// The interval at which idle flows, callers and balancers are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many batches are taken before the thread looks for news.
-const TURN: usize = 32;
+/// The most batches of frames that are handled before the periodic work is checked.
+const BURST_MAX: usize = 32;
 
-/// Takes frames from the tunnel in a thread of its own and decides over each.
+/// Handles the frames that arrive on the tunnel, in a thread of its own.
 pub struct Tunnel {
   batch: Batch,
   registry: Registry,
@@ -42,7 +42,7 @@
   node: Arc<Node>,
   nonce: u32,
   poll: Poll,
-  posted: Instant,
+  last_dump: Instant,
   shared: Arc<Shared>,
   table: Option<Arc<Table>>,
   tagger: Option<Arc<Tagger>>,
@@ -50,7 +50,8 @@
 }
 
 impl Tunnel {
-  /// The tunnel of an agent.
+  /// Creates the tunnel with the configuration in force. Fails when its socket cannot be polled or
+  /// the keyring has an invalid secret.
   pub fn new(shared: Arc<Shared>, node: Arc<Node>, registry: Registry) -> Result<Self, Fault> {
     let failed = |error| Fault::new(Code::ChildFailed, error);
     let poll = Poll::new().map_err(failed)?;
@@ -73,54 +74,55 @@
       node,
       nonce: 0,
       poll,
-      posted: Instant::now(),
+      last_dump: Instant::now(),
       shared,
       table: None,
       tagger: None,
       version: 0,
     };
-    tunnel.take_view(&view)?;
+    tunnel.apply_view(&view)?;
     Ok(tunnel)
   }
 
-  /// Runs until it is told to stop.
+  /// Handles frames until it is stopped.
   pub fn run(&mut self, views: &Receiver<Arc<View>>, stop: &Stop) -> Result<(), Fault> {
     let mut events = Events::with_capacity(8);
-    let mut looked = Instant::now();
-    let mut expired = Instant::now();
+    let mut last_run = Instant::now();
+    let mut last_expiry = Instant::now();
     let mut more = false;
     while !stop.is_set() {
-      let wait = if more { Duration::ZERO } else { STEP };
+      let wait = if more { Duration::ZERO } else { POLL_INTERVAL };
       if let Err(error) = self.poll.poll(&mut events, Some(wait))
         && error.kind() != std::io::ErrorKind::Interrupted
       {
         return Err(Fault::new(Code::ChildFailed, error));
       }
-      more = self.take_turn();
-      if looked.elapsed() < STEP {
+      more = self.receive_burst();
+      if last_run.elapsed() < POLL_INTERVAL {
         continue;
       }
-      looked = Instant::now();
+      last_run = Instant::now();
       if let Some(view) = views.try_iter().last() {
-        self.take_view(&view)?;
+        self.apply_view(&view)?;
       }
-      self.look();
-      if expired.elapsed() >= EXPIRY {
-        expired = Instant::now();
-        self.machine.expire(expired);
-        self.shared.path().expire(expired);
+      self.run_due();
+      if last_expiry.elapsed() >= EXPIRY_INTERVAL {
+        last_expiry = Instant::now();
+        self.machine.expire(last_expiry);
+        self.shared.path().expire(last_expiry);
       }
     }
     let _ = self.shared.tunnel.deregister(self.poll.registry());
     Ok(())
   }
 
-  fn take_turn(&mut self) -> bool {
+  /// Handles up to `BURST_MAX` batches; returns whether more may be waiting.
+  fn receive_burst(&mut self) -> bool {
     let mut batch = std::mem::take(&mut self.batch);
     let mut more = true;
-    for _ in 0..TURN {
+    for _ in 0..BURST_MAX {
       match self.shared.tunnel.receive(&mut batch) {
-        Ok(true) => self.take_batch(&batch),
+        Ok(true) => self.handle_batch(&batch),
         Ok(false) => {
           more = false;
           break;
@@ -132,7 +134,7 @@
     more
   }
 
-  fn take_batch(&mut self, batch: &Batch) {
+  fn handle_batch(&mut self, batch: &Batch) {
     let Some(tagger) = self.tagger.clone() else {
       self.shared.counter.count(Code::NotReady);
       return;
@@ -142,11 +144,11 @@
     for (from, datagram) in batch.datagrams() {
       match Frame::decode(datagram, &tagger) {
         Ok((Frame::Carry(carry), packet)) => {
-          self.carry(now, &tagger, from, &carry, packet, &mut outbox);
+          self.handle_packet(now, &tagger, from, &carry, packet, &mut outbox);
         }
         Ok((Frame::Echo(echo), _)) => {
           self.shared.path().note_heard(now, from);
-          self.compare(echo.revision);
+          self.check_revision(echo.revision);
         }
         Ok((Frame::Found(found), _)) => {
           let event = Event::Found {
@@ -155,7 +157,7 @@
           };
           self.machine.step(now, self.table.as_deref(), event);
         }
-        Ok((Frame::Probe(probe), _)) => self.echo(&tagger, from, &probe),
+        Ok((Frame::Probe(probe), _)) => self.answer_probe(&tagger, from, &probe),
         Ok((Frame::Refusal(refusal), _)) => {
           let code = refusal.code();
           self.shared.counter.count(code);
@@ -170,7 +172,8 @@
     self.shared.waker.wake();
   }
 
-  fn carry<'a>(
+  /// Delivers, forwards or refuses a caller's packet.
+  fn handle_packet<'a>(
     &mut self,
     now: Instant,
     tagger: &Tagger,
@@ -188,7 +191,7 @@
       return;
     };
     if carry.service == self.shared.settings.service {
-      self.compare(carry.revision);
+      self.check_revision(carry.revision);
     }
     match action {
       Action::Deliver | Action::Open | Action::Reset => {
@@ -200,13 +203,13 @@
           .shared
           .path()
           .note_packet(now, carry.caller, balancer, direct);
-        self.tell_found(tagger, from, carry);
-        self.deliver(carry.caller, packet);
+        self.send_found(tagger, from, carry);
+        self.queue_packet(carry.caller, packet);
       }
-      Action::Forward(pass) => self.pass(tagger, balancer, carry, pass, packet, outbox),
+      Action::Forward(pass) => self.forward(tagger, balancer, carry, pass, packet, outbox),
       Action::Search(others) => {
         for to in others {
-          self.pass(tagger, balancer, carry, Forward::to(to), packet, outbox);
+          self.forward(tagger, balancer, carry, Forward::to(to), packet, outbox);
         }
       }
       Action::Refuse(code) => self.refuse(tagger, balancer, carry, code),
@@ -214,7 +217,8 @@
     }
   }
 
-  fn deliver(&self, caller: SocketAddr, packet: &[u8]) {
+  /// Queues a packet for the transport, or drops it if the queue is full.
+  fn queue_packet(&self, caller: SocketAddr, packet: &[u8]) {
     let delivery = Delivery {
       caller,
       packet: packet.to_vec(),
@@ -224,7 +228,8 @@
     }
   }
 
-  fn pass<'a>(
+  /// Forwards a packet to another target's agent.
+  fn forward<'a>(
     &self,
     tagger: &Tagger,
     balancer: SocketAddr,
@@ -252,6 +257,7 @@
     }
   }
 
+  /// Counts a refused packet and sends the reason to the balancer that it came through.
   fn refuse(&self, tagger: &Tagger, to: SocketAddr, carry: &Carry, code: Code) {
     self.shared.counter.count(code);
     let refusal = Frame::Refusal(Refusal {
@@ -260,11 +266,11 @@
       service: carry.service,
       target: carry.target,
     });
-    self.send(tagger, to, &refusal);
+    self.send_frame(tagger, to, &refusal);
   }
 
-  /// Tells the agent that passed a packet on that its flow is here.
-  fn tell_found(&self, tagger: &Tagger, to: SocketAddr, carry: &Carry) {
+  /// Informs the agent that forwarded a packet that its flow is at this target.
+  fn send_found(&self, tagger: &Tagger, to: SocketAddr, carry: &Carry) {
     let Flow::Keyed { key, .. } = carry.flow else {
       return;
     };
@@ -276,10 +282,10 @@
       service: carry.service,
       target: carry.target,
     });
-    self.send(tagger, to, &found);
+    self.send_frame(tagger, to, &found);
   }
 
-  fn echo(&self, tagger: &Tagger, to: SocketAddr, probe: &Probe) {
+  fn answer_probe(&self, tagger: &Tagger, to: SocketAddr, probe: &Probe) {
     let settings = &self.shared.settings;
     if probe.service != settings.service {
       self.shared.counter.count(Code::FrameWrongService);
@@ -296,7 +302,7 @@
         service: settings.service,
         target: settings.target,
       });
-      self.send(tagger, to, &refusal);
+      self.send_frame(tagger, to, &refusal);
       return;
     }
     let echo = Frame::Echo(Echo {
@@ -306,10 +312,10 @@
       service: settings.service,
       target: Some(settings.target),
     });
-    self.send(tagger, to, &echo);
+    self.send_frame(tagger, to, &echo);
   }
 
-  fn send(&self, tagger: &Tagger, to: SocketAddr, frame: &Frame) {
+  fn send_frame(&self, tagger: &Tagger, to: SocketAddr, frame: &Frame) {
     let mut header = [0; HEADER_MAX];
     if let Ok(length) = frame.encode(0, tagger, &mut header) {
       self.shared.counter.add("control.out.frame", length as u64);
@@ -317,8 +323,8 @@
     }
   }
 
-  /// A frame that shows a newer revision makes the agent ask for it.
-  fn compare(&self, revision: Revision) {
+  /// Requests the configuration from a peer if a frame has a newer revision.
+  fn check_revision(&self, revision: Revision) {
     if revision > self.revision() {
       self.node.request_sync();
     }
@@ -331,35 +337,38 @@
       .map_or(Revision::default(), Table::revision)
   }
 
-  /// Probes quiet balancers, and settles whether the target leaves.
-  fn look(&mut self) {
+  /// Does the periodic work: updates whether the target is leaving, probes balancers, and updates
+  /// the state dump.
+  fn run_due(&mut self) {
     let leaving = self.is_leaving();
     let leaving_changed = leaving != self.machine.is_leaving();
     if leaving_changed {
-      log::info!("agent: leaving is now {leaving}.");
+      log::info!("agent: the target is leaving: {leaving}.");
       self.shared.leaving.send_replace(leaving);
       let now = Instant::now();
       self
         .machine
         .step(now, self.table.as_deref(), Event::Leaving(leaving));
     }
-    self.probe();
-    if self.posted.elapsed() >= POST || leaving_changed {
-      self.posted = Instant::now();
-      self.post();
+    self.probe_balancers();
+    if self.last_dump.elapsed() >= DUMP_INTERVAL || leaving_changed {
+      self.last_dump = Instant::now();
+      self.publish_state();
     }
   }
 
+  /// Whether the process is stopping, or the target is marked as leaving or missing in the service.
   fn is_leaving(&self) -> bool {
-    let listed = self.shared.service().is_some_and(|service| {
+    let leaves_service = self.shared.service().is_some_and(|service| {
       service
         .target(self.shared.settings.target)
         .is_none_or(|target| target.leaving)
     });
-    listed || self.shared.departing.load(Ordering::Relaxed)
+    leaves_service || self.shared.stopping.load(Ordering::Relaxed)
   }
 
-  fn probe(&mut self) {
+  /// Probes the listed balancers that have been silent for a while.
+  fn probe_balancers(&mut self) {
     let Some(tagger) = self.tagger.clone() else {
       return;
     };
@@ -372,11 +381,13 @@
         service: self.shared.settings.service,
         target: None,
       });
-      self.send(&tagger, balancer, &probe);
+      self.send_frame(&tagger, balancer, &probe);
     }
   }
 
-  fn take_view(&mut self, view: &View) -> Result<(), Fault> {
+  /// Puts a new configuration in force for all threads. Fails when the keyring has an invalid
+  /// secret.
+  fn apply_view(&mut self, view: &View) -> Result<(), Fault> {
     let settings = &self.shared.settings;
     let balancers = view
       .instances
@@ -386,11 +397,11 @@
       .collect::<Vec<_>>();
     self.shared.path().set_listed(Instant::now(), &balancers);
     let own = view.service(settings.service);
-    self.table = own.map(|seen| {
+    self.table = own.map(|entry| {
       Arc::new(Table::new(
-        seen.revision,
-        &seen.service,
-        &seen.history,
+        entry.revision,
+        &entry.service,
+        &entry.history,
         usize::MAX,
         |target| {
           if target.leaving {
@@ -401,7 +412,7 @@
         },
       ))
     });
-    let service = own.map(|seen| (seen.revision, Arc::new(seen.service.clone())));
+    let service = own.map(|entry| (entry.revision, Arc::new(entry.service.clone())));
     if let Some((_, service)) = &service {
       let window = Duration::from_secs(service.repeat_window_s);
       self.shared.ledger().set_window(window);
@@ -409,7 +420,7 @@
       self
         .shared
         .slots
-        .set(own.map_or(1, |target| target.slots) as usize);
+        .set_count(own.map_or(1, |target| target.slots) as usize);
     }
     self.shared.set_service(service);
     self.shared.set_table(self.table.clone());
@@ -420,7 +431,7 @@
     Ok(())
   }
 
-  fn post(&self) {
+  fn publish_state(&self) {
     let (owned, passed) = self.machine.remembered();
     let (callers, balancers) = self.shared.path().len();
     let (running, waiting) = self.shared.slots.size();
--- a/src/agent/pipe.rs
+++ b/src/agent/tunnel_socket.rs
@@ -21,18 +21,19 @@
   },
 };
 
-/// How many packets the transport hands over at once.
-const SEGMENTS: usize = 16;
+/// The most packets that the transport sends in one call.
+const SEGMENTS_MAX: usize = 16;
 
-/// The transport's socket: packets arrive from the tunnel and leave into it, through a balancer.
+/// The UDP socket of the QUIC transport. Its packets are received from and sent through the tunnel
+/// to a balancer.
 #[derive(Debug)]
-pub struct Pipe {
+pub struct TunnelSocket {
   rng: Mutex<SmallRng>,
   shared: Arc<Shared>,
 }
 
-impl Pipe {
-  /// A socket over the agent's tunnel.
+impl TunnelSocket {
+  /// Creates a socket on the agent's tunnel.
   pub fn new(shared: Arc<Shared>) -> Self {
     Self {
       rng: Mutex::new(SmallRng::seed_from_u64(rand::random())),
@@ -40,6 +41,7 @@
     }
   }
 
+  /// Sends packets to a caller, in one `Return` frame each, through one balancer.
   fn send(&self, caller: SocketAddr, contents: &[u8], segment: usize) -> Result<(), Code> {
     let tagger = self.shared.tagger().ok_or(Code::NotReady)?;
     let balancer = {
@@ -71,14 +73,14 @@
   }
 }
 
-impl AsyncUdpSocket for Pipe {
+impl AsyncUdpSocket for TunnelSocket {
   fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
-    Box::pin(Ready)
+    Box::pin(AlwaysWritable)
   }
 
   fn try_send(&self, transmit: &Transmit) -> io::Result<()> {
     let segment = transmit.segment_size.unwrap_or(transmit.contents.len());
-    // What cannot be sent is lost, as on any network; the transport sends it again.
+    // Counted but not reported: the transport retransmits lost packets.
     if let Err(code) = self.send(transmit.destination, transmit.contents, segment) {
       self.shared.counter.count(code);
     }
@@ -118,7 +120,7 @@
   }
 
   fn max_transmit_segments(&self) -> usize {
-    SEGMENTS
+    SEGMENTS_MAX
   }
 
   fn may_fragment(&self) -> bool {
@@ -126,11 +128,11 @@
   }
 }
 
-/// The tunnel never makes the transport wait.
+/// A poller that is always writable, since packets that cannot be sent are dropped.
 #[derive(Debug)]
-struct Ready;
+struct AlwaysWritable;
 
-impl UdpPoller for Ready {
+impl UdpPoller for AlwaysWritable {
   fn poll_writable(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
     Poll::Ready(Ok(()))
   }
--- a/src/agent/upstream.rs
+++ b/src/agent/upstream.rs
@@ -1,6 +1,6 @@
 use {
   super::{
-    call::{Body, Call, Pieces},
+    call::{Body, Call, Chunks},
     problem::Problem,
   },
   crate::{Code, net},
@@ -23,42 +23,42 @@
   tokio::{task::AbortHandle, time::timeout},
 };
 
-/// How long a connection may take to be made.
-const CONNECT_MAX: Duration = Duration::from_secs(1);
+/// The timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Sent = Either<Full<Bytes>, StreamBody<Rest>>;
+type RequestBody = Either<Full<Bytes>, StreamBody<PrefixedBody>>;
 
-/// The beginning of a body and the pieces that follow it.
+/// The buffered beginning of a body and the chunks that follow.
 #[derive(Debug)]
-pub struct Rest(stream::Chain<stream::Iter<std::option::IntoIter<Piece>>, Pieces>);
+pub struct PrefixedBody(stream::Chain<stream::Iter<std::option::IntoIter<Chunk>>, Chunks>);
 
-type Piece = Result<Frame<Bytes>, io::Error>;
+type Chunk = Result<Frame<Bytes>, io::Error>;
 
-impl Stream for Rest {
-  type Item = Piece;
+impl Stream for PrefixedBody {
+  type Item = Chunk;
 
-  fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<Piece>> {
+  fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<Chunk>> {
     self.0.poll_next_unpin(context)
   }
 }
 
-/// Why a request was not answered.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-  /// Nobody listens there: whoever did is dead, and the request did not leave.
-  Dead,
-  /// No connection was made in time: the request did not leave.
+  /// The connection was refused, so no process listens there. The request was not sent.
+  Refused,
+  /// No connection could be established before the deadline. The request was not sent.
   Unreachable,
-  /// The request left, and no answer came.
+  /// The request was sent, but no answer came in time, so it may have run.
   Unknown,
 }
 
-/// An answer and the connection that it comes by, which ends with it: a request that is given up
-/// is cancelled on the other side.
+/// An answer with its connection. Dropping it closes the connection, which cancels the request at
+/// the other side.
 #[derive(Debug)]
 pub struct Answer {
   _connection: Connection,
-  /// The answer.
+  /// The head, and the body as it arrives.
   pub response: Response<Incoming>,
 }
 
@@ -72,8 +72,8 @@
 }
 
 impl Answer {
-  /// The next piece of the body; none at its end, an error when it was cut.
-  pub async fn piece(&mut self) -> Result<Option<Bytes>, hyper::Error> {
+  /// The next chunk of the body; none at its end. Fails when the connection ends before the body.
+  pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, hyper::Error> {
     while let Some(frame) = self.response.body_mut().frame().await {
       if let Ok(data) = frame?.into_data() {
         return Ok(Some(data));
@@ -83,18 +83,18 @@
   }
 }
 
-/// Sends a call, once, over a connection of its own. Only a connection that was never made proves
-/// that it has not run.
+/// Sends a call over a new connection and waits for the head of the answer until the call's
+/// deadline. The call has certainly not run unless the failure is `Unknown`.
 pub async fn send(to: SocketAddr, bind: Option<IpAddr>, call: Call) -> Result<Answer, Failure> {
   let start_by = call.start_by;
-  let stream = match timeout(CONNECT_MAX, net::connect(to, bind)).await {
+  let stream = match timeout(CONNECT_TIMEOUT, net::connect(to, bind)).await {
     Ok(Ok(stream)) => stream,
     Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-      return Err(Failure::Dead);
+      return Err(Failure::Refused);
     }
     _ => return Err(Failure::Unreachable),
   };
-  // A process that slept here must not start what nobody waits for any more.
+  // The process may have been paused: a request whose deadline has passed must not start.
   let Some(left) = start_by.checked_duration_since(Instant::now()) else {
     return Err(Failure::Unreachable);
   };
@@ -110,18 +110,21 @@
   }
 }
 
-fn request(call: Call) -> Request<Sent> {
+fn request(call: Call) -> Request<RequestBody> {
   let body = match call.body {
-    Body::Stream(begun, rest) => {
-      let begun = stream::iter(Some(Ok(Frame::data(begun))));
-      Either::Right(StreamBody::new(Rest(begun.chain(rest))))
+    Body::Stream(prefix, rest) => {
+      let prefix = stream::iter(Some(Ok(Frame::data(prefix))));
+      Either::Right(StreamBody::new(PrefixedBody(prefix.chain(rest))))
     }
-    Body::Whole(bytes) => Either::Left(Full::new(bytes)),
+    Body::Buffered(bytes) => Either::Left(Full::new(bytes)),
   };
   Request::from_parts(call.head, body)
 }
 
-/// Makes the head of a caller's request one that an HTTP/1.1 process takes.
+/// Converts the head of a caller's HTTP/3 request to HTTP/1.1: sets `Host` and
+/// `X-Forwarded-For`, and removes headers that a caller must not set.
+///
+/// Fails with `RequestMalformed` when the authority or the path is not valid.
 pub fn prepare(call: &mut Call) -> Result<(), Problem> {
   let malformed = || Problem::new(Code::RequestMalformed);
   let head = &mut call.head;
@@ -132,24 +135,24 @@
   let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
   head.uri = path.parse().map_err(|_| malformed())?;
   head.version = http::Version::HTTP_11;
-  let from = header::HeaderValue::from_str(&call.caller.ip().to_string());
+  let forwarded_for = header::HeaderValue::from_str(&call.caller.ip().to_string());
   head
     .headers
-    .insert("x-forwarded-for", from.map_err(|_| malformed())?);
-  strip(&mut head.headers);
-  // Words between agents are never a caller's to say; the attempt is.
-  let own = head
+    .insert("x-forwarded-for", forwarded_for.map_err(|_| malformed())?);
+  strip_connection_headers(&mut head.headers);
+  // Only agents may set these headers, except for the attempt.
+  let internal = head
     .headers
     .keys()
     .filter(|name| name.as_str().starts_with("fallwell-") && name.as_str() != "fallwell-attempt");
-  for name in own.cloned().collect::<Vec<_>>() {
+  for name in internal.cloned().collect::<Vec<_>>() {
     head.headers.remove(name);
   }
   Ok(())
 }
 
-/// Removes the headers that speak of one connection only (RFC 9110, 7.6.1).
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes headers that apply to a single connection (RFC 9110, 7.6.1).
+pub fn strip_connection_headers(headers: &mut HeaderMap) {
   for name in [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
