--- a/tests/machines/spread.rs
+++ b/tests/machines/spread.rs
@@ -11,8 +11,8 @@
 
 const FIVE_SECONDS: Duration = Duration::from_secs(5);
 
-fn records(carriers: usize) -> Vec<Record> {
-  (0..carriers)
+fn records(replicas: usize) -> Vec<Record> {
+  (0..replicas)
     .map(|index| instance(index, 1 + index as u64))
     .chain((1..=20).map(|id| service(id, 6, 1000 + u64::from(id))))
     .collect()
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_change_that_one_process_reads_is_everywhere_within_seconds() {
+fn a_change_read_by_one_process_reaches_all_within_five_seconds() {
   let mut mesh = Mesh::new(60, &records(60), 1);
   mesh.run(Duration::from_secs(2));
   mesh.publish(7, service(1, 7, 5000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_change_is_everywhere_although_a_third_of_the_messages_is_lost() {
+fn a_change_reaches_all_when_a_third_of_the_messages_is_lost() {
   let mut mesh = Mesh::new(60, &records(60), 2);
   mesh.loss = 0.33;
   mesh.publish(7, service(1, 7, 5000));
@@ -43,10 +43,9 @@
   assert!(took.is_some());
 }
 
-/// A fifth is gone and still listed: news must not be lost on it. (It took 7.8 s at 440 when the
-/// dead were called again and again.)
+/// Guards against pushes that are lost or delayed because they go to unreachable peers.
 #[test]
-fn a_change_passes_by_the_dead_that_are_still_listed() {
+fn a_change_reaches_all_reachable_processes_when_a_fifth_is_down_but_listed() {
   let mut mesh = Mesh::new(100, &records(100), 12);
   mesh.cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
   mesh.run(Duration::from_secs(10));
@@ -54,8 +53,8 @@
     let revision = 5000 + change;
     mesh.publish(1, service(1, 7, revision));
     let took = mesh.run_until(FIVE_SECONDS, |machines| {
-      let alive = (0..100).filter(|index| index % 5 != 0);
-      alive.map(|index| &machines[index]).all(|machine| {
+      let reachable = (0..100).filter(|index| index % 5 != 0);
+      reachable.map(|index| &machines[index]).all(|machine| {
         machine.store().in_force(Key::Service(id::Service(1))) == Some(Revision(revision))
       })
     });
@@ -64,7 +63,7 @@
 }
 
 #[test]
-fn two_halves_agree_again_and_the_newest_wins() {
+fn both_sides_of_a_partition_converge_on_the_newest_revision() {
   let mut mesh = Mesh::new(20, &records(20), 3);
   mesh.cut = Box::new(|a, b| (a < 10) != (b < 10));
   mesh.publish(1, service(1, 7, 5000));
@@ -80,7 +79,7 @@
 }
 
 #[test]
-fn a_process_that_joins_has_all_from_one_peer() {
+fn a_process_that_joins_receives_all_documents_from_one_seed() {
   let mut mesh = Mesh::new(10, &records(10), 4);
   let joined = mesh.join(3);
   let took = mesh.run_until(FIVE_SECONDS, |machines| {
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn a_process_that_woke_up_with_an_old_configuration_is_told_and_tells_nobody() {
+fn a_process_that_was_cut_off_catches_up_and_reverts_no_other() {
   let mut mesh = Mesh::new(10, &records(10), 5);
   mesh.cut = Box::new(|a, b| a == 9 || b == 9);
   mesh.publish(0, service(1, 7, 5000));
@@ -104,18 +103,18 @@
 }
 
 #[test]
-fn a_quiet_fleet_exchanges_nothing_but_digests() {
+fn an_unchanged_configuration_causes_only_digests() {
   let mut mesh = Mesh::new(50, &records(50), 6);
   mesh.run(Duration::from_secs(2));
   mesh.bytes.clear();
   mesh.run(Duration::from_secs(10));
   assert_eq!(mesh.bytes.keys().copied().collect::<Vec<_>>(), ["digest"]);
-  let each = mesh.bytes["digest"] / 50 / 10;
-  assert!(each < 100, "{each} bytes a second");
+  let rate = mesh.bytes["digest"] / 50 / 10;
+  assert!(rate < 100, "{rate} bytes per second and process");
 }
 
 #[test]
-fn a_process_that_joins_makes_no_news() {
+fn a_process_that_joins_does_not_push_what_it_receives() {
   let mut mesh = Mesh::new(10, &records(10), 7);
   mesh.join(3);
   mesh.messages.clear();
@@ -124,10 +123,10 @@
   assert!(offers <= 3, "{offers} offers");
 }
 
-/// One reader hears from the platform with each watch; nobody else needs to ask. (When a watch
-/// waited longer than the word of it counted, every balancer asked by itself all the time.)
+/// Guards against a watch that waits longer than a confirmation counts: every balancer would then
+/// read the platform itself.
 #[test]
-fn a_quiet_fleet_takes_the_readers_word() {
+fn the_watches_of_one_reader_keep_the_confirmation_of_all_processes_recent() {
   let settings = fallwell::platform::Settings::default();
   let mut mesh = Mesh::new(200, &records(200), 11);
   let mut oldest = Duration::ZERO;
@@ -138,7 +137,7 @@
       oldest = oldest.max(mesh.oldest_word());
     }
   }
-  println!("oldest word of the platform: {oldest:?}");
+  println!("oldest confirmation by the platform: {oldest:?}");
   assert!(oldest < settings.stale_after, "{oldest:?}");
 }
 
@@ -155,22 +154,22 @@
   )
 }
 
-/// A follower asks a carrier; what both say until nothing is left to say.
-fn converse(follower: &mut Machine, carrier: &mut Machine) {
+/// Starts an exchange of a follower with a replica and runs it to its end.
+fn exchange(follower: &mut Machine, replica: &mut Machine) {
   let now = Instant::now();
-  let mut letters = follower.step(now, Event::Tick);
-  while let Some((_, message)) = letters.pop() {
-    for (_, answer) in carrier.step(now, Event::Received(address(200), message)) {
-      letters.extend(follower.step(now, Event::Received(address(0), answer)));
+  let mut messages = follower.step(now, Event::Tick);
+  while let Some((_, message)) = messages.pop() {
+    for (_, answer) in replica.step(now, Event::Received(address(200), message)) {
+      messages.extend(follower.step(now, Event::Received(address(0), answer)));
     }
   }
 }
 
 #[test]
-fn a_follower_holds_its_own_service_and_a_few_balancers_only() {
+fn a_follower_stores_only_its_service_and_a_few_balancers() {
   let mut mesh = Mesh::new(30, &records(30), 8);
   let mut follower = follower();
-  converse(&mut follower, &mut mesh.machines[0]);
+  exchange(&mut follower, &mut mesh.machines[0]);
   assert!(follower.store().service(id::Service(2)).is_some());
   assert!(follower.store().service(id::Service(1)).is_none());
   assert_eq!(follower.store().instances().count(), 3);
@@ -178,19 +177,19 @@
 }
 
 #[test]
-fn a_follower_that_knows_all_is_told_nothing() {
+fn a_follower_with_a_current_subset_gets_no_answer() {
   let mut mesh = Mesh::new(30, &records(30), 9);
   let mut follower = follower();
-  converse(&mut follower, &mut mesh.machines[0]);
-  let question = follower.step(Instant::now(), Event::Tick);
-  let (_, question) = question.into_iter().next().expect("a question");
-  assert!(matches!(question, Message::Follow { .. }));
-  let event = Event::Received(address(200), question);
+  exchange(&mut follower, &mut mesh.machines[0]);
+  let requests = follower.step(Instant::now(), Event::Tick);
+  let (_, request) = requests.into_iter().next().expect("a request");
+  assert!(matches!(request, Message::Follow { .. }));
+  let event = Event::Received(address(200), request);
   assert!(mesh.machines[1].step(Instant::now(), event).is_empty());
 }
 
 #[test]
-fn two_readers_a_data_centre_read() {
+fn two_balancers_of_each_data_centre_are_readers() {
   let mesh = Mesh::new(50, &records(50), 10);
   for centre in 0..5_u32 {
     let name = format!("centre-{centre}");
