--- a/src/agent/handoff.rs
+++ b/src/agent/handoff.rs
@@ -49,7 +49,7 @@
     /// that its ledger is lost.
     lost: bool,
   },
-  /// Run it now or not at all.
+  /// Run it if a slot is free now, else refuse it.
   Run,
 }
 
--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -56,7 +56,8 @@
         earlier.push(home.target);
       }
       Ok(answer) => return Reply::Streamed(Streamed::new(answer, None)),
-      // The process has ended, and its ledger is lost. Its next incarnation knows that by itself.
+      // The process has ended, and its ledger is lost. If it restarts, its next incarnation takes
+      // that into account itself.
       Err(Failure::Refused) => lost = true,
       Err(Failure::Unreachable) => {
         return Reply::Problem(Problem::new(Code::RequestHomeUnreachable));
@@ -172,6 +173,7 @@
   }
 }
 
+/// The addresses of these targets; those that the table does not contain are left out.
 fn hops(shared: &Shared, targets: BTreeSet<id::Target>) -> Vec<Hop> {
   let table = shared.table();
   let hops = targets.into_iter().filter_map(|target| {
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -127,7 +127,7 @@
         }
         Ok(None) => break,
         Err(error) => {
-          log::debug!("agent: flow was closed with its requests: {error}.");
+          log::debug!("agent: flow was closed, its requests are aborted: {error}.");
           requests.abort_all();
           break;
         }
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -285,6 +285,7 @@
     self.send_frame(tagger, to, &found);
   }
 
+  /// Answers a probe of this target with an echo, or with a refusal while the target is leaving.
   fn answer_probe(&self, tagger: &Tagger, to: SocketAddr, probe: &Probe) {
     let settings = &self.shared.settings;
     if probe.service != settings.service {
@@ -343,7 +344,7 @@
     let leaving = self.is_leaving();
     let leaving_changed = leaving != self.machine.is_leaving();
     if leaving_changed {
-      log::info!("agent: the target is leaving: {leaving}.");
+      log::info!("agent: the target's leaving state is now {leaving}.");
       self.shared.leaving.send_replace(leaving);
       let now = Instant::now();
       self
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -15,7 +15,7 @@
   pub path: String,
   /// Whether a request may safely run more than once, so that it is retried after a failure.
   pub repeatable: bool,
-  /// The relative cost of a request in the measure of work per target.
+  /// The relative cost of a request, for comparing the work of targets.
   pub weight: u32,
 }
 
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -40,8 +40,9 @@
   last_valid: Option<Arc<Record>>,
 }
 
-/// Stores the newest record of each key and decides which document is in force. The revision of a
-/// key never decreases: a record that is not newer than the stored one is not stored.
+/// Stores the newest record of each key and decides which document is in force: the newest valid
+/// one. The revision of a key never decreases, since a record that is not newer than the stored one
+/// is not stored.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
   digest: Digest,
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -44,7 +44,7 @@
   /// a replica last answered it.
   confirmed: Option<Instant>,
   joined: bool,
-  /// The keys that a follower was last given; unused by a replica.
+  /// The keys of the documents that a follower stores; unused by a replica.
   subset_keys: Vec<Key>,
   /// The other replicas, computed at `peers_version`.
   peers: Vec<SocketAddr>,
@@ -231,7 +231,7 @@
     vec![(peer, message)]
   }
 
-  /// Compares a peer's root with the own one and answers with the buckets if they differ.
+  /// Compares a peer's root with that of this store. Answers with the buckets if they differ.
   fn compare_root(
     &mut self,
     now: Instant,
@@ -242,7 +242,7 @@
     let confirmed = confirmed_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
     self.confirmed = self.confirmed.max(confirmed);
     if root == self.store.digest().root() {
-      // The peer is sent the own confirmation only if that is clearly more recent.
+      // Answers only if this process has a clearly more recent confirmation than the peer.
       let age = self.confirmed_ms(now);
       let fresher = match (age, confirmed_ms) {
         (Some(own), Some(theirs)) => own + 500 < theirs,
