--- a/src/agent/call.rs
+++ b/src/agent/call.rs
@@ -18,7 +18,7 @@
 /// one is streamed to the upstream of this agent.
 const BUFFERED_MAX: usize = 64 << 10;
 
-/// The most chunks of a body that are queued for its reader.
+/// The maximum number of chunks of a body that are queued for its reader.
 const CHUNKS_MAX: usize = 16;
 
 /// The chunks of a request's body; an error means that the body is incomplete.
--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -21,7 +21,7 @@
   tokio::sync::watch,
 };
 
-/// The most homes that are tried, one after another.
+/// The maximum number of homes that are tried, one after another.
 const HOMES_TRIED_MAX: usize = 3;
 
 /// The largest answer that the ledger stores, in bytes.
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -13,7 +13,7 @@
   xxhash_rust::xxh3::Xxh3,
 };
 
-/// The most peers to which a request is offered before it waits for a slot of this agent.
+/// The maximum number of peers to which a request is offered before it waits for a slot here.
 const PEERS_TRIED_MAX: usize = 2;
 
 /// How long a peer without a free slot is avoided. After failures it is a multiple of this.
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -26,7 +26,8 @@
   tokio::sync::watch,
 };
 
-/// The most packets queued for the transport; more are dropped, as by a full socket buffer.
+/// The maximum number of packets queued for the transport; more are dropped, as by a full socket
+/// buffer.
 const QUEUED_MAX: usize = 8192;
 
 /// A caller's packet that is queued for the transport.
--- a/src/agent/tls.rs
+++ b/src/agent/tls.rs
@@ -19,11 +19,12 @@
 /// The upper bound of path MTU discovery: an Ethernet frame minus the tunnel's headers.
 const MTU_MAX: u16 = 1350;
 
-/// The most concurrent requests of one flow. The transport allocates memory for each in advance.
+/// The maximum number of concurrent requests of one flow. The transport allocates memory for each
+/// in advance.
 const REQUEST_STREAMS_MAX: u32 = 32;
 
-/// The most unidirectional streams that a caller may open: HTTP/3 needs three, and some callers
-/// open more of reserved types (GREASE).
+/// The maximum number of unidirectional streams that a caller may open: HTTP/3 needs three, and
+/// some callers open more of reserved types (GREASE).
 const UNI_STREAMS_MAX: u32 = 8;
 
 /// Builds the QUIC server configuration with the certificate and the key, read from their files.
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -31,7 +31,7 @@
 /// The interval at which idle flows, callers and balancers are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The most batches of frames that are handled before the periodic work is checked.
+/// The maximum number of batches of frames that are handled before the periodic work is checked.
 const BURST_MAX: usize = 32;
 
 /// Handles the frames that arrive on the tunnel, in a thread of its own.
@@ -368,13 +368,13 @@
     leaves_service || self.shared.stopping.load(Ordering::Relaxed)
   }
 
-  /// Probes the listed balancers that have been silent for a while.
+  /// Probes the listed balancers that have not answered for a while.
   fn probe_balancers(&mut self) {
     let Some(tagger) = self.tagger.clone() else {
       return;
     };
-    let quiet = self.shared.path().take_due_probes(Instant::now());
-    for balancer in quiet {
+    let unresponsive = self.shared.path().take_due_probes(Instant::now());
+    for balancer in unresponsive {
       self.nonce = self.nonce.wrapping_add(1);
       let probe = Frame::Probe(Probe {
         nonce: self.nonce,
--- a/src/agent/tunnel_socket.rs
+++ b/src/agent/tunnel_socket.rs
@@ -21,7 +21,7 @@
   },
 };
 
-/// The most packets that the transport sends in one call.
+/// The maximum number of packets that the transport sends in one call.
 const SEGMENTS_MAX: usize = 16;
 
 /// The UDP socket of the QUIC transport. Its packets are received from and sent through the tunnel
--- a/src/config/keyring.rs
+++ b/src/config/keyring.rs
@@ -3,7 +3,7 @@
   serde::{Deserialize, Serialize},
 };
 
-/// The most secrets in a keyring.
+/// The maximum number of secrets in a keyring.
 const SECRETS_MAX: usize = 4;
 
 /// The secrets that connection IDs and frames are tagged with. New tags are made with the current
--- a/src/config/service.rs
+++ b/src/config/service.rs
@@ -8,7 +8,7 @@
   std::{collections::HashSet, net::SocketAddr},
 };
 
-/// The most targets of a service.
+/// The maximum number of targets of a service.
 const TARGETS_MAX: usize = 4096;
 
 /// A set of targets that callers reach at one address.
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -8,7 +8,7 @@
   },
 };
 
-/// The most earlier target sets that are stored for a service.
+/// The maximum number of earlier target sets that are stored for a service.
 pub const HISTORY_LIMIT: usize = 16;
 
 /// The result of offering a record to the store.
--- a/src/config/target.rs
+++ b/src/config/target.rs
@@ -10,7 +10,7 @@
 pub struct Target {
   /// The address of its agent: UDP for frames, TCP for requests that peers hand off.
   pub agent: SocketAddr,
-  /// The most connections that it accepts.
+  /// The maximum number of connections that it accepts.
   #[serde(default = "connections")]
   pub connections: u32,
   /// The target's id, which must not be reused for another target of the service.
@@ -18,7 +18,7 @@
   /// Whether it is to take no new flows and close its old ones within `drain_s`.
   #[serde(default)]
   pub leaving: bool,
-  /// The most requests that its upstream runs concurrently.
+  /// The maximum number of requests that its upstream runs concurrently.
   #[serde(default = "slots")]
   pub slots: u32,
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -20,7 +20,7 @@
 /// The timeout of a connection attempt and of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most connections that stay open.
+/// The maximum number of connections that stay open.
 const CONNECTIONS_MAX: usize = 32;
 
 /// Calls peers and reuses their connections; one that fails is replaced at the next call.
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -244,12 +244,12 @@
     if root == self.store.digest().root() {
       // Answers only if this process has a clearly more recent confirmation than the peer.
       let age = self.confirmed_ms(now);
-      let fresher = match (age, confirmed_ms) {
+      let is_more_recent = match (age, confirmed_ms) {
         (Some(own), Some(theirs)) => own + 500 < theirs,
         (Some(_), None) => true,
         _ => false,
       };
-      if !fresher {
+      if !is_more_recent {
         return Vec::new();
       }
       return vec![(
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -13,7 +13,7 @@
 /// The largest accepted message, in bytes.
 pub(super) const MESSAGE_MAX: usize = 4 << 20;
 
-/// The most concurrent calls on one connection.
+/// The maximum number of concurrent calls on one connection.
 const CALLS_PER_CONNECTION_MAX: usize = 16;
 
 /// The remote procedures that a process offers its peers.
--- a/src/peer/settings.rs
+++ b/src/peer/settings.rs
@@ -9,7 +9,8 @@
   pub fan_out: usize,
   /// The size in bytes at which a message with documents is split.
   pub message_bytes: usize,
-  /// The most documents, accepted at once, that are pushed; more are left to the digests.
+  /// The maximum number of documents that are pushed when they are accepted at once; larger sets
+  /// are left to the digests.
   pub news_max: usize,
   /// The number of balancers in a follower's subset.
   pub subset_balancers: usize,
