--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -356,7 +356,7 @@
     }
     self.version += 1;
     // This process is catching up, so its peers already have these documents.
-    if accepted.len() > self.settings.news_max {
+    if accepted.len() > self.settings.push_max {
       return outgoing;
     }
     for peer in self.random_peers(now, self.settings.fan_out) {
--- a/src/peer/settings.rs
+++ b/src/peer/settings.rs
@@ -11,7 +11,7 @@
   pub message_bytes: usize,
   /// The maximum number of documents that are pushed when they are accepted at once; larger sets
   /// are left to the digests.
-  pub news_max: usize,
+  pub push_max: usize,
   /// The number of balancers in a follower's subset.
   pub subset_balancers: usize,
   /// The time between two requests of a follower, unless a frame with a newer revision causes one.
@@ -27,7 +27,7 @@
       fan_out: 4,
       follow_interval: Duration::from_secs(3),
       message_bytes: 128 << 10,
-      news_max: 8,
+      push_max: 8,
       subset_balancers: 3,
       tick: Duration::from_secs(1),
     }
