--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -95,7 +95,7 @@
 
   /// Records that a replica answered, so that a follower does not read the platform. Has no effect
   /// on a replica, which must know when the platform itself answered.
-  pub fn heard(&mut self, now: Instant) {
+  pub fn note_heard(&mut self, now: Instant) {
     if self.role != Role::Carrier {
       self.confirmed = Some(now);
     }
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -109,7 +109,7 @@
           node.dispatch(Event::Failed(to, message));
           return;
         };
-        node.machine().heard(Instant::now());
+        node.machine().note_heard(Instant::now());
         node.process_answers(to, answers);
       });
     }
