--- a/src/balancer/run.rs
+++ b/src/balancer/run.rs
@@ -107,7 +107,7 @@
     instance: settings.instance,
     platform: settings.platform,
     readers: settings.readers,
-    role: Role::Carrier,
+    role: Role::Replica,
     seeds: settings.peers.clone(),
     tick: peer::Settings::default().tick,
   }
@@ -116,7 +116,7 @@
 fn machine(settings: &settings::Balancer) -> Machine {
   Machine::new(
     settings.control,
-    Role::Carrier,
+    Role::Replica,
     settings.peers.clone(),
     peer::Settings::default(),
     rand::random(),
--- a/src/control.rs
+++ b/src/control.rs
@@ -86,7 +86,7 @@
   while !node.machine().has_joined() && start.elapsed() < JOIN_TIMEOUT {
     for seed in &settings.seeds {
       let message = match settings.role {
-        Role::Carrier => Message::Digest {
+        Role::Replica => Message::Digest {
           confirmed_ms: None,
           root: node.machine().store().digest().root(),
         },
@@ -149,7 +149,7 @@
 /// The keys that a process with this role reads from the platform; empty for all.
 fn keys(role: Role) -> Vec<Key> {
   match role {
-    Role::Carrier => Vec::new(),
+    Role::Replica => Vec::new(),
     Role::Follower { service, .. } => vec![Key::Keyring, Key::Service(service)],
   }
 }
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -96,7 +96,7 @@
   /// Records that a replica answered, so that a follower does not read the platform. Has no effect
   /// on a replica, which must know when the platform itself answered.
   pub fn note_heard(&mut self, now: Instant) {
-    if self.role != Role::Carrier {
+    if self.role != Role::Replica {
       self.confirmed = Some(now);
     }
   }
@@ -109,7 +109,7 @@
   /// Whether this process is one of the `readers` balancers that read the platform for the data
   /// centre. A follower never is.
   pub fn is_reader(&self, own: id::Instance, data_centre: &str, readers: usize) -> bool {
-    self.role == Role::Carrier && subset::is_reader(&self.store, own, data_centre, readers)
+    self.role == Role::Replica && subset::is_reader(&self.store, own, data_centre, readers)
   }
 
   /// The control addresses of the other replicas, completed from the seeds if fewer than two are
@@ -157,7 +157,7 @@
       Event::Platform(records) => {
         self.confirmed = Some(now);
         self.joined = true;
-        if self.role != Role::Carrier {
+        if self.role != Role::Replica {
           self
             .subset_keys
             .extend(records.iter().map(|record| record.key));
@@ -176,7 +176,7 @@
 
   /// Whether the key is in this process's subset of the configuration; a replica's contains all.
   pub fn is_in_subset(&self, key: Key) -> bool {
-    self.role == Role::Carrier || self.subset_keys.contains(&key)
+    self.role == Role::Replica || self.subset_keys.contains(&key)
   }
 
   fn confirmed_ms(&self, now: Instant) -> Option<u64> {
@@ -218,7 +218,7 @@
       return Vec::new();
     };
     let message = match self.role {
-      Role::Carrier => Message::Digest {
+      Role::Replica => Message::Digest {
         confirmed_ms: self.confirmed_ms(now),
         root: self.store.digest().root(),
       },
@@ -411,7 +411,7 @@
   /// Up to `count` random peers; unreachable ones only if no other candidate is left. A follower
   /// contacts one peer at a time and pushes nothing, so it gets none for a larger count.
   fn random_peers(&mut self, now: Instant, count: usize) -> Vec<SocketAddr> {
-    if self.role != Role::Carrier && count > 1 {
+    if self.role != Role::Replica && count > 1 {
       return Vec::new();
     }
     let ttl = self.settings.unreachable_ttl;
--- a/src/peer/role.rs
+++ b/src/peer/role.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
   /// All documents, which it also serves to other processes: a balancer.
-  Carrier,
+  Replica,
   /// The documents of one service, requested from the replicas: an agent.
   Follower {
     /// The service whose documents it stores.
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -95,7 +95,7 @@
     for index in 0..carriers {
       let mut machine = Machine::new(
         address(index),
-        Role::Carrier,
+        Role::Replica,
         Vec::new(),
         Settings::default(),
         seed + index as u64,
@@ -129,7 +129,7 @@
     let index = self.machines.len();
     self.machines.push(Machine::new(
       address(index),
-      Role::Carrier,
+      Role::Replica,
       vec![address(seed)],
       Settings::default(),
       index as u64,
