--- a/src/config/instance.rs
+++ b/src/config/instance.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-  /// The address for calls of its peers (TCP).
+  /// The address at which it accepts calls from peers (TCP).
   pub control: SocketAddr,
   /// The name of the data centre that it is in.
   pub data_centre: String,
@@ -19,7 +19,7 @@
   pub presence: Presence,
   /// Which program it runs.
   pub role: Role,
-  /// The address for frames (UDP).
+  /// The address at which it receives frames (UDP).
   pub tunnel: SocketAddr,
 }
 
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -6,8 +6,8 @@
 pub struct Route {
   /// How long a request may wait and run before its answer begins, in milliseconds.
   pub deadline_ms: u64,
-  /// Whether the answer is a long-running stream. Such a request takes no slot and is not handed
-  /// off to another target, since it would then depend on two targets.
+  /// Whether the answer is a long-running stream. Such a request takes no slot, and an agent that
+  /// is busy or leaving does not hand it off, since it would then depend on two targets.
   pub feed: bool,
   /// The HTTP method, such as `POST`.
   pub method: String,
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -16,7 +16,7 @@
 pub enum Verdict {
   /// It is now in force and should be sent to peers.
   Accepted,
-  /// A record of this revision is stored already.
+  /// A record of this revision is stored already; only its history is merged.
   Known,
   /// A record of a higher revision is stored and stays.
   Older,
@@ -36,7 +36,7 @@
   history: Vec<Set>,
   /// Why the newest record is invalid, if it is.
   fault: Option<Fault>,
-  /// The record of the document in force if it is not the newest, for peers that have neither.
+  /// The newest valid record if the newest one is invalid, for peers that have neither.
   last_valid: Option<Arc<Record>>,
 }
 
@@ -140,8 +140,8 @@
     verdict
   }
 
-  /// The records to send to a peer for `key`: the newest with the history, preceded by the record
-  /// in force if that is another one.
+  /// The records to send to a peer for `key`: the newest with the history, preceded by the newest
+  /// valid one if that is another.
   pub fn records(&self, key: Key) -> Vec<Record> {
     let Some(entry) = self.entries.get(&key) else {
       return Vec::new();
@@ -269,8 +269,8 @@
   }
 }
 
-/// Adds the offered history, leaves out the set in force and duplicates, and keeps the newest
-/// `HISTORY_LIMIT` sets, newest first.
+/// Adds the offered history and keeps the newest `HISTORY_LIMIT` sets, newest first, without the
+/// set in force and without sets that equal the next newer one.
 fn merge_histories(history: &mut Vec<Set>, offered: &[Set], in_force: Option<Revision>) {
   history.extend(offered.iter().cloned());
   history.retain(|set| Some(set.revision) != in_force);
