--- a/src/control.rs
+++ b/src/control.rs
@@ -66,7 +66,7 @@
   })
 }
 
-/// Exchanges with a random peer at regular intervals, and soon after a sync was requested.
+/// Starts an exchange with a random peer at regular intervals, and soon after a sync was requested.
 async fn exchange(settings: &Settings, node: &Arc<Node>) {
   join(settings, node).await;
   let mut next = Instant::now();
@@ -102,7 +102,8 @@
   }
 }
 
-/// Reads changes from the platform whenever this process is to do so.
+/// Reads changes from the platform while this process is a designated reader, or while the last
+/// confirmation that it knows of is too old.
 async fn read(settings: &Settings, node: &Arc<Node>) {
   let mut reader = Reader::new(
     platform::Settings::default(),
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -21,7 +21,7 @@
 pub enum Event {
   /// A message could not be delivered to a peer.
   Failed(SocketAddr, Message),
-  /// The platform answered; the records changed since the answer before, if any did.
+  /// The platform answered with the records that changed since its previous answer, if any.
   Platform(Vec<Record>),
   /// A peer's message arrived.
   Received(SocketAddr, Message),
@@ -54,7 +54,7 @@
   seeds: Vec<SocketAddr>,
   settings: Settings,
   store: Store,
-  /// The hash of the subset that a follower was last given.
+  /// The hash of the subset that a follower last received, or 0; unused by a replica.
   subset_token: u64,
   version: u64,
 }
@@ -231,7 +231,8 @@
     vec![(peer, message)]
   }
 
-  /// Compares a peer's root with that of this store. Answers with the buckets if they differ.
+  /// Compares a peer's root with that of this store. Answers with the buckets if they differ, else
+  /// with this process's confirmation if it is more recent.
   fn compare_root(
     &mut self,
     now: Instant,
@@ -355,7 +356,8 @@
       return outgoing;
     }
     self.version += 1;
-    // This process is catching up, so its peers already have these documents.
+    // So many at once mean that this process is catching up, so its peers probably have them
+    // already. If not, the digests repair it.
     if accepted.len() > self.settings.push_max {
       return outgoing;
     }
@@ -367,7 +369,8 @@
     outgoing
   }
 
-  /// Answers a follower with its subset, if the one that it has is out of date.
+  /// Answers a follower with its subset, if the one that it has is out of date. Before this process
+  /// has joined, its store may lack documents, so it does not answer.
   fn serve_subset(
     &mut self,
     from: SocketAddr,
@@ -396,7 +399,8 @@
     )]
   }
 
-  /// Stores a follower's new subset, which replaces the previous one.
+  /// Stores the subset that this follower received. Its keys replace the previous ones; documents
+  /// that are no longer in the subset stay in the store.
   fn replace_subset(&mut self, records: Vec<Record>, token: u64) -> Vec<Outgoing> {
     self.joined = true;
     self.subset_token = token;
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -28,8 +28,8 @@
 }
 
 impl Node {
-  /// Creates a node that sends each new view to `views`, which must not block: it is called while
-  /// the machine is locked.
+  /// Creates a node that sends each new view to `views`. Sending must not block, since the machine
+  /// is locked meanwhile.
   pub fn new(
     address: SocketAddr,
     bind: Option<IpAddr>,
--- a/src/peer/settings.rs
+++ b/src/peer/settings.rs
@@ -3,7 +3,7 @@
 /// Limits and intervals of the replication.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// How long a peer that could not be reached is chosen only when no other is left.
+  /// How long after a failed call a peer is chosen only if no other candidate is left.
   pub unreachable_ttl: Duration,
   /// The number of peers to which a process pushes newly accepted documents.
   pub fan_out: usize,
@@ -14,7 +14,7 @@
   pub push_max: usize,
   /// The number of balancers in a follower's subset.
   pub subset_balancers: usize,
-  /// The time between two requests of a follower, unless a frame with a newer revision causes one.
+  /// The time between two requests of a follower. A frame with a newer revision causes one earlier.
   pub follow_interval: Duration,
   /// The time between two digests of a replica.
   pub tick: Duration,
--- a/src/peer/subset.rs
+++ b/src/peer/subset.rs
@@ -8,7 +8,7 @@
 };
 
 /// The keys in a follower's subset: its service, the keyring, and `count` balancers chosen by
-/// rendezvous hashing.
+/// rendezvous hashing, as far as the store contains them.
 pub fn keys(store: &Store, service: id::Service, target: id::Target, count: usize) -> Vec<Key> {
   let mut ranked = balancers(store)
     .map(|instance| {
--- a/tests/machines/spread.rs
+++ b/tests/machines/spread.rs
@@ -123,8 +123,8 @@
   assert!(offers <= 3, "{offers} offers");
 }
 
-/// Guards against a watch that waits longer than a confirmation counts: every balancer would then
-/// read the platform itself.
+/// Guards against a watch so long that confirmations become older than `stale_after`: every
+/// balancer would then read the platform itself.
 #[test]
 fn the_watches_of_one_reader_keep_the_confirmation_of_all_processes_recent() {
   let settings = fallwell::platform::Settings::default();
