--- a/tests/machines/store.rs
+++ b/tests/machines/store.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_change_of_only_the_generation_adds_nothing_to_the_history() {
+fn new_revisions_with_the_same_targets_add_at_most_one_set_to_the_history() {
   let mut store = Store::default();
   for revision in 1..=5 {
     store.offer(record(revision, &service_with(&[1, 2])));
