--- a/src/agent.rs
+++ b/src/agent.rs
@@ -1,5 +1,5 @@
-//! The agent: runs on the same instance as an upstream, terminates its callers' QUIC flows and
-//! forwards their HTTP/3 requests to it.
+//! The agent: runs on the same instance as an upstream, terminates callers' QUIC flows and forwards
+//! their HTTP/3 requests to the upstream.
 
 mod call;
 mod cid_generator;
--- a/src/agent/call.rs
+++ b/src/agent/call.rs
@@ -44,10 +44,11 @@
   pub head: Parts,
   /// The operator's settings for such requests; the defaults if no route matches.
   pub route: Route,
-  /// The deadline: the request is not started later.
-  pub start_by: Instant,
-  /// Whether it may only run at this agent's upstream: it is a feed, or matches no route and so
-  /// could be one.
+  /// When the head of the answer must have arrived. A request that has not started by then is not
+  /// run.
+  pub deadline: Instant,
+  /// Whether it is run here or refused instead of being offered to peers: it is a feed, or matches
+  /// no route and so could be one. Retries and hand-offs to a key's home ignore this.
   pub local_only: bool,
 }
 
@@ -65,7 +66,7 @@
     let local_only = route.as_ref().is_none_or(|route| route.feed);
     let route = route.unwrap_or_default();
     let (head, ()) = request.into_parts();
-    let start_by = Instant::now() + Duration::from_millis(route.deadline_ms);
+    let deadline = Instant::now() + Duration::from_millis(route.deadline_ms);
     let body = match chunks {
       Some(chunks) => buffer(chunks).await?,
       None => Body::Buffered(Bytes::new()),
@@ -75,7 +76,7 @@
       caller,
       head,
       route,
-      start_by,
+      deadline,
       local_only,
     })
   }
@@ -129,14 +130,14 @@
       caller: self.caller,
       head: self.head.clone(),
       route: self.route.clone(),
-      start_by: self.start_by,
+      deadline: self.deadline,
       local_only: self.local_only,
     })
   }
 
   /// The time left until the deadline; zero once it has passed.
   pub fn remaining(&self) -> Duration {
-    self.start_by.saturating_duration_since(Instant::now())
+    self.deadline.saturating_duration_since(Instant::now())
   }
 }
 
--- a/src/agent/count_guard.rs
+++ b/src/agent/count_guard.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Counts one in a counter until it is dropped.
+/// Keeps a counter incremented by one until it is dropped.
 #[derive(Debug)]
 pub struct CountGuard<'a>(&'a AtomicU32);
 
--- a/src/agent/handoff.rs
+++ b/src/agent/handoff.rs
@@ -47,7 +47,7 @@
     earlier: Vec<id::Target>,
     /// Whether a target that precedes this one in the order of homes refused the connection, so
     /// that its ledger is lost.
-    lost: bool,
+    ledger_lost: bool,
   },
   /// Run it if a slot is free now, else refuse it.
   Run,
@@ -58,8 +58,11 @@
   fn header(&self) -> String {
     match self {
       Self::Claim => "claim".into(),
-      Self::Home { earlier, lost } => {
-        let mut text = format!("home;{}", u8::from(*lost));
+      Self::Home {
+        earlier,
+        ledger_lost,
+      } => {
+        let mut text = format!("home;{}", u8::from(*ledger_lost));
         for target in earlier {
           let _ = write!(text, ";{target}");
         }
@@ -76,9 +79,12 @@
       _ => {}
     }
     let mut parts = text.strip_prefix("home;")?.split(';');
-    let lost = parts.next()? == "1";
+    let ledger_lost = parts.next()? == "1";
     let earlier = parts.map(str::parse).collect::<Result<_, _>>().ok()?;
-    Some(Self::Home { earlier, lost })
+    Some(Self::Home {
+      earlier,
+      ledger_lost,
+    })
   }
 }
 
@@ -166,7 +172,10 @@
   let call = parse_call(shared, head, body.to_bytes())?;
   Ok(match mode {
     Mode::Claim => claim(shared, &call),
-    Mode::Home { earlier, lost } => home::run_as_home(shared, call, &earlier, lost).await,
+    Mode::Home {
+      earlier,
+      ledger_lost,
+    } => home::run_as_home(shared, call, &earlier, ledger_lost).await,
     Mode::Run => runner::run_handed_off(shared, call).await,
   })
 }
@@ -215,7 +224,7 @@
     caller,
     head,
     route,
-    start_by: Instant::now() + remaining,
+    deadline: Instant::now() + remaining,
     local_only: false,
   })
 }
--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -1,5 +1,5 @@
-//! Requests with an idempotency key that may not be repeated run at the key's home: the target that
-//! rendezvous hashing chooses for the key, and whose ledger decides whether it runs.
+//! Requests that may not be repeated and have an idempotency key run at the key's home. This is the
+//! target that rendezvous hashing chooses for the key; its ledger decides whether the request runs.
 
 use {
   super::{
@@ -24,7 +24,8 @@
 /// The maximum number of homes that are tried, one after another.
 const HOMES_TRIED_MAX: usize = 3;
 
-/// The largest answer that the ledger stores, in bytes.
+/// The largest answer that is buffered for all requests with the same key, in bytes. The outcome of
+/// a larger one is unknown to them.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
 /// Receives the outcome of the request with a key; none while it runs.
@@ -33,7 +34,7 @@
 /// Runs a call with a key at the key's home, at most once.
 pub async fn run(shared: &Arc<Shared>, call: Call, key: u128) -> Reply {
   let mut earlier = Vec::new();
-  let mut lost = false;
+  let mut ledger_lost = false;
   let mut tried = Vec::new();
   for _ in 0..HOMES_TRIED_MAX {
     let Some(home) = shared.home(key, &tried) else {
@@ -41,14 +42,14 @@
     };
     tried.push(home.target);
     if home.target == shared.settings.target {
-      return run_as_home(shared, call, &earlier, lost).await;
+      return run_as_home(shared, call, &earlier, ledger_lost).await;
     }
     let Some(copy) = call.try_clone() else {
       return Reply::Problem(Problem::new(Code::RequestOversized));
     };
     let mode = Mode::Home {
       earlier: earlier.clone(),
-      lost,
+      ledger_lost,
     };
     match handoff::send(shared, home, copy, &mode).await {
       // A leaving target runs no new keys. The next home claims the key from it.
@@ -58,7 +59,7 @@
       Ok(answer) => return Reply::Streamed(Streamed::new(answer, None)),
       // The process has ended, and its ledger is lost. If it restarts, its next incarnation takes
       // that into account itself.
-      Err(Failure::Refused) => lost = true,
+      Err(Failure::Refused) => ledger_lost = true,
       Err(Failure::Unreachable) => {
         return Reply::Problem(Problem::new(Code::RequestHomeUnreachable));
       }
@@ -70,12 +71,13 @@
   Reply::Problem(Problem::new(Code::RequestHomeUnreachable))
 }
 
-/// Runs a call with a key as the key's home. `earlier` and `lost` are those of `Mode::Home`.
+/// Runs a call with a key as the key's home. `earlier` and `ledger_lost` are those of
+/// `Mode::Home`.
 pub async fn run_as_home(
   shared: &Arc<Shared>,
   call: Call,
   earlier: &[id::Target],
-  lost: bool,
+  ledger_lost: bool,
 ) -> Reply {
   let Some(key) = call.key() else {
     return Reply::Problem(Problem::new(Code::RequestMalformed));
@@ -87,7 +89,7 @@
   let past = if known {
     Past::Clear
   } else {
-    match claim_from_earlier(shared, &call, key, earlier, lost).await {
+    match claim_from_earlier(shared, &call, key, earlier, ledger_lost).await {
       Ok(past) => past,
       Err(reply) => return *reply,
     }
@@ -110,17 +112,17 @@
 }
 
 /// Claims the key from all targets that may have been its home within the repeat window, so that
-/// they do not run it from now on. Fails with the reply to send if one of them has run it.
+/// they do not run it from now on. Fails with the reply to send if one of them may have run it.
 async fn claim_from_earlier(
   shared: &Arc<Shared>,
   call: &Call,
   key: u128,
   earlier: &[id::Target],
-  lost: bool,
+  ledger_lost: bool,
 ) -> Result<Past, Box<Reply>> {
   let mut homes = shared.earlier_homes(key);
   homes.extend(earlier.iter().copied());
-  let mut past = if lost { Past::Lost } else { Past::Clear };
+  let mut past = if ledger_lost { Past::Lost } else { Past::Clear };
   if homes.remove(&shared.settings.target) && shared.has_started_within_window() {
     // A previous incarnation of this target may have run it.
     past = Past::Lost;
@@ -186,24 +188,24 @@
 /// Runs the call in a task of its own, so that it completes and its answer is stored even if the
 /// caller cancels the request.
 async fn run_once(shared: &Arc<Shared>, call: Call, key: u128, receiver: OutcomeReceiver) -> Reply {
-  let start_by = call.start_by;
+  let deadline = call.deadline;
   let shared = Arc::clone(shared);
   tokio::spawn(async move {
     let reply = runner::run(&shared, call).await;
     let outcome = collect_outcome(reply).await;
     shared.finish_key(key, outcome);
   });
-  await_outcome(start_by, receiver).await
+  await_outcome(deadline, receiver).await
 }
 
 async fn wait(call: Call, receiver: OutcomeReceiver) -> Reply {
-  await_outcome(call.start_by, receiver).await
+  await_outcome(call.deadline, receiver).await
 }
 
 /// Waits until the deadline for the outcome and converts it to a reply.
-async fn await_outcome(start_by: Instant, mut receiver: OutcomeReceiver) -> Reply {
+async fn await_outcome(deadline: Instant, mut receiver: OutcomeReceiver) -> Reply {
   let outcome = receiver.wait_for(Option::is_some);
-  let outcome = tokio::time::timeout_at(start_by.into(), outcome).await;
+  let outcome = tokio::time::timeout_at(deadline.into(), outcome).await;
   let outcome = match &outcome {
     Ok(Ok(outcome)) => outcome.as_ref(),
     _ => None,
@@ -245,11 +247,11 @@
 }
 
 /// The part of a key that rendezvous hashing uses.
-pub fn rank_key(key: u128) -> u64 {
+pub fn rendezvous_key(key: u128) -> u64 {
   (key >> 64) as u64
 }
 
 /// The key's home among the targets of a table that have not been tried.
 pub fn find(table: &routing::Table, key: u128, tried: &[id::Target]) -> Option<Hop> {
-  routing::Machine::alternative(table, rank_key(key), tried)
+  routing::Machine::alternative(table, rendezvous_key(key), tried)
 }
--- a/src/agent/problem.rs
+++ b/src/agent/problem.rs
@@ -33,7 +33,7 @@
     }
   }
 
-  /// The HTTP status: 503 if the request was certainly not run, 504 if that is unknown.
+  /// The HTTP status: 504 if the request may have run, otherwise one that tells why it was not run.
   pub fn status(self) -> StatusCode {
     match self.code {
       Code::FrameForged => StatusCode::FORBIDDEN,
--- a/src/agent/proxy.rs
+++ b/src/agent/proxy.rs
@@ -20,8 +20,8 @@
 type Upload = RequestStream<RecvStream, Bytes>;
 type Download = RequestStream<SendStream<Bytes>, Bytes>;
 
-/// Serves a request: runs it, and sends the answer or a problem to the caller. It is given up when
-/// the caller cancels it.
+/// Serves a request: runs it, and sends the answer or a problem to the caller. Stops when the
+/// caller cancels the request.
 pub async fn serve(
   shared: Arc<Shared>,
   caller: SocketAddr,
--- a/src/agent/reply.rs
+++ b/src/agent/reply.rs
@@ -11,7 +11,7 @@
   },
 };
 
-/// The time after which an unfinished answer gives back its slot, since it may be a feed.
+/// The time after which the slot of an unfinished answer is released, since it may be a feed.
 const SLOT_TIME_MAX: Duration = Duration::from_secs(1);
 
 /// The reply to a request.
@@ -72,7 +72,7 @@
     response
   }
 
-  /// Gives back the slot once the answer has taken too long.
+  /// Releases the slot if the answer takes longer than `SLOT_TIME_MAX`.
   fn release_slot(&mut self) {
     if self.since.elapsed() >= SLOT_TIME_MAX {
       self.slot = None;
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -55,7 +55,7 @@
 ) -> Result<Arc<Shared>, Fault> {
   let registry = Registry::default();
   metrics::start(settings.metrics, counter, &registry, tree)?;
-  let (views_in, views) = channel::unbounded();
+  let (views_sender, views) = channel::unbounded();
   let tunnel = Socket::bind(bound(settings.tunnel, settings.bind), false)?;
   let handoffs = listen(bound(settings.tunnel, settings.bind))?;
   let shared = Shared::new(settings.clone(), tunnel, handoffs, Arc::clone(counter));
@@ -65,14 +65,14 @@
     machine(settings),
     Arc::clone(counter),
     registry.clone(),
-    views_in,
+    views_sender,
   );
-  let serving = Arc::clone(&shared);
-  tree.start("serve", move |stop| serve::run(&serving, stop))?;
-  let (tunnelling, tunnel_node) = (Arc::clone(&shared), Arc::clone(&node));
+  let serve_shared = Arc::clone(&shared);
+  tree.start("serve", move |stop| serve::run(&serve_shared, stop))?;
+  let (tunnel_shared, tunnel_node) = (Arc::clone(&shared), Arc::clone(&node));
   tree.start("tunnel", move |stop| {
     Tunnel::new(
-      Arc::clone(&tunnelling),
+      Arc::clone(&tunnel_shared),
       Arc::clone(&tunnel_node),
       registry.clone(),
     )?
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -13,11 +13,11 @@
   xxhash_rust::xxh3::Xxh3,
 };
 
-/// The maximum number of peers to which a request is offered before it waits for a slot here.
+/// The maximum number of peers to which a request is offered, one after another.
 const PEERS_TRIED_MAX: usize = 2;
 
-/// How long a peer without a free slot is avoided. After failures it is a multiple of this.
-const AVOID_BUSY: Duration = Duration::from_millis(20);
+/// How long a peer that is busy or leaving is avoided; after a failure, a multiple of this.
+const BUSY_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Runs a call at this agent's upstream or at a peer with a free slot. If the upstream fails, a
 /// repeatable call is retried once at a peer, within the budget of retries.
@@ -50,7 +50,7 @@
   run_local(shared, call, false).await
 }
 
-/// Runs a call without retries. A leaving agent only hands it off.
+/// Runs a call without retries. A leaving agent hands it off or refuses it.
 async fn run_once(shared: &Arc<Shared>, call: Call) -> Reply {
   let leaving = shared.is_leaving();
   if !leaving && (call.local_only || shared.slots.is_free()) {
@@ -70,12 +70,12 @@
   run_local(shared, call, true).await
 }
 
-/// Runs a call at this agent's upstream. `waits` tells whether it may wait for a slot.
-async fn run_local(shared: &Arc<Shared>, call: Call, waits: bool) -> Reply {
+/// Runs a call at this agent's upstream. It waits for a slot only if `may_wait` is set.
+async fn run_local(shared: &Arc<Shared>, call: Call, may_wait: bool) -> Reply {
   let mut slot = None;
   if !call.route.feed {
     let caller = hash_caller(call.caller);
-    match shared.slots.acquire(caller, call.start_by, waits).await {
+    match shared.slots.acquire(caller, call.deadline, may_wait).await {
       Ok(entered) => slot = Some(entered),
       Err(retry_after) => return Reply::Problem(Problem::busy(retry_after)),
     }
@@ -110,11 +110,11 @@
   match handoff::send(shared, peer, call, &Mode::Run).await {
     Ok(answer) => match handoff::result_code(&answer) {
       Some(Code::RequestSlotsFull | Code::RequestTargetLeaving) => {
-        shared.avoid(peer.target, AVOID_BUSY);
+        shared.avoid(peer.target, BUSY_BACKOFF);
         None
       }
       Some(Code::RequestUpstreamUnreachable | Code::RequestDeadline) => {
-        shared.avoid(peer.target, AVOID_BUSY * 10);
+        shared.avoid(peer.target, BUSY_BACKOFF * 10);
         None
       }
       _ => {
@@ -123,7 +123,7 @@
       }
     },
     Err(Failure::Refused | Failure::Unreachable) => {
-      shared.avoid(peer.target, AVOID_BUSY * 50);
+      shared.avoid(peer.target, BUSY_BACKOFF * 50);
       None
     }
     Err(Failure::Unknown) => Some(Reply::Problem(Problem::new(Code::RequestOutcomeUnknown))),
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -49,12 +49,12 @@
   /// The number of open flows.
   pub flows: AtomicU32,
   /// The listener for requests that peers hand off. It is bound before the process is ready, since
-  /// peers take a refused connection for a dead process.
+  /// peers conclude from a refused connection that the process has ended.
   pub handoffs: TcpListener,
   /// Whether the agent accepts flows.
   pub serving: AtomicBool,
-  /// The total weight of the requests sent to the upstream, used to measure the
-  /// imbalance between targets.
+  /// The total weight of the requests sent to the upstream, for measuring the imbalance between
+  /// targets.
   pub work: AtomicU64,
   /// The incarnation of this agent, drawn at random.
   pub incarnation: id::Incarnation,
@@ -154,7 +154,7 @@
     let Some(table) = self.table() else {
       return BTreeSet::new();
     };
-    table.first_candidates(home::rank_key(key), self.oldest_within_window())
+    table.first_candidates(home::rendezvous_key(key), self.oldest_within_window())
   }
 
   /// Decides about a request with an idempotency key and returns a receiver for its outcome. Both
@@ -247,12 +247,12 @@
     oldest.unwrap_or_default()
   }
 
-  /// Subtracts the weight of a request that the upstream could not be sent after all.
+  /// Subtracts the weight of a request that could not be sent to the upstream after all.
   pub fn subtract_work(&self, weight: u32) {
     self.work.fetch_sub(weight.into(), Ordering::Relaxed);
   }
 
-  /// The repeat window of the service; that of the default while none is in force.
+  /// The repeat window of the service in force; the default window while there is none.
   fn repeat_window(&self) -> Duration {
     let service = self.service();
     Duration::from_secs(service.map_or(600, |service| service.repeat_window_s))
@@ -280,8 +280,7 @@
     lock(&self.path)
   }
 
-  /// The first route that matches a request. Without one the request could be a feed, so it must
-  /// run at this agent's upstream.
+  /// The first route that matches a request, if any.
   pub fn route(&self, method: &str, path: &str) -> Option<Route> {
     let service = self.service();
     let routes = service.as_ref().map_or(&[][..], |service| &service.routes);
--- a/src/agent/slots.rs
+++ b/src/agent/slots.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct Inner {
   machine: Machine,
-  next: u64,
+  last_ticket: u64,
   waiting: HashMap<Ticket, oneshot::Sender<Admission>>,
 }
 
@@ -36,33 +36,33 @@
   fn default() -> Self {
     Self(Arc::new(Mutex::new(Inner {
       machine: Machine::new(Settings::default()),
-      next: 0,
+      last_ticket: 0,
       waiting: HashMap::new(),
     })))
   }
 }
 
 impl Slots {
-  /// Takes a slot. If none is free and `waits` is set, waits for one until `start_by`.
+  /// Takes a slot. If none is free and `may_wait` is set, waits for one until `start_by`.
   ///
   /// Fails with the time after which the request may be retried.
   pub async fn acquire(
     &self,
     caller: u64,
     start_by: Instant,
-    waits: bool,
+    may_wait: bool,
   ) -> Result<Slot, Duration> {
     let (sender, receiver) = oneshot::channel();
     let slot = {
       let mut inner = lock(&self.0);
-      inner.next += 1;
-      let ticket = Ticket(inner.next);
+      inner.last_ticket += 1;
+      let ticket = Ticket(inner.last_ticket);
       inner.waiting.insert(ticket, sender);
       let event = Event::Arrived {
         caller,
         start_by,
         ticket,
-        waits,
+        waits: may_wait,
       };
       inner.step(event);
       Slot {
@@ -70,7 +70,7 @@
         ticket,
       }
     };
-    // `slot` ends the request in the machine if this future is cancelled or the request refused.
+    // Dropping `slot` removes the request, also if this future is cancelled or the request refused.
     match receiver.await {
       Ok(Ok(())) => Ok(slot),
       Ok(Err(retry_after)) => Err(retry_after),
--- a/src/agent/tls.rs
+++ b/src/agent/tls.rs
@@ -63,8 +63,8 @@
   transport
 }
 
-/// Builds the QUIC endpoint configuration. The stateless reset key is the same for every
-/// incarnation of a target, so that callers accept resets of flows of a previous incarnation.
+/// Builds the QUIC endpoint configuration. The stateless reset key depends only on the secret and
+/// the target, so that callers accept resets of flows of a previous incarnation.
 pub fn endpoint_config(secret: &[u8; 16], shared: &Shared) -> EndpointConfig {
   let settings = &shared.settings;
   let mut bytes = secret.to_vec();
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -269,7 +269,7 @@
     self.send_frame(tagger, to, &refusal);
   }
 
-  /// Informs the agent that forwarded a packet that its flow is at this target.
+  /// Notifies the agent from which a forwarded packet came that this target has the packet's flow.
   fn send_found(&self, tagger: &Tagger, to: SocketAddr, carry: &Carry) {
     let Flow::Keyed { key, .. } = carry.flow else {
       return;
--- a/src/agent/tunnel_socket.rs
+++ b/src/agent/tunnel_socket.rs
@@ -42,7 +42,7 @@
   }
 
   /// Sends packets to a caller, in one `Return` frame each, through one balancer.
-  fn send(&self, caller: SocketAddr, contents: &[u8], segment: usize) -> Result<(), Code> {
+  fn send(&self, caller: SocketAddr, contents: &[u8], segment_size: usize) -> Result<(), Code> {
     let tagger = self.shared.tagger().ok_or(Code::NotReady)?;
     let balancer = {
       let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
@@ -61,7 +61,7 @@
       target: settings.target,
     });
     let mut outbox = Outbox::default();
-    for packet in contents.chunks(segment.max(1)) {
+    for packet in contents.chunks(segment_size.max(1)) {
       let mut header = [0; HEADER_MAX];
       let length = frame.encode(packet.len(), &tagger, &mut header)?;
       outbox.push(balancer, header, length, packet);
@@ -79,9 +79,9 @@
   }
 
   fn try_send(&self, transmit: &Transmit) -> io::Result<()> {
-    let segment = transmit.segment_size.unwrap_or(transmit.contents.len());
+    let segment_size = transmit.segment_size.unwrap_or(transmit.contents.len());
     // Counted but not reported: the transport retransmits lost packets.
-    if let Err(code) = self.send(transmit.destination, transmit.contents, segment) {
+    if let Err(code) = self.send(transmit.destination, transmit.contents, segment_size) {
       self.shared.counter.count(code);
     }
     Ok(())
--- a/src/agent/upstream.rs
+++ b/src/agent/upstream.rs
@@ -47,9 +47,9 @@
 pub enum Failure {
   /// The connection was refused, so no process listens there. The request was not sent.
   Refused,
-  /// No connection could be established before the deadline. The request was not sent.
+  /// No connection could be established in time. The request was not sent.
   Unreachable,
-  /// The request was sent, but no answer came in time, so it may have run.
+  /// The request was sent, but the head of an answer did not arrive in time, so it may have run.
   Unknown,
 }
 
@@ -84,9 +84,9 @@
 }
 
 /// Sends a call over a new connection and waits for the head of the answer until the call's
-/// deadline. The call has certainly not run unless the failure is `Unknown`.
+/// deadline. After a failure other than `Unknown` the call has certainly not run.
 pub async fn send(to: SocketAddr, bind: Option<IpAddr>, call: Call) -> Result<Answer, Failure> {
-  let start_by = call.start_by;
+  let deadline = call.deadline;
   let stream = match timeout(CONNECT_TIMEOUT, net::connect(to, bind)).await {
     Ok(Ok(stream)) => stream,
     Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -95,7 +95,7 @@
     _ => return Err(Failure::Unreachable),
   };
   // The process may have been paused: a request whose deadline has passed must not start.
-  let Some(left) = start_by.checked_duration_since(Instant::now()) else {
+  let Some(left) = deadline.checked_duration_since(Instant::now()) else {
     return Err(Failure::Unreachable);
   };
   let handshake = http1::handshake(TokioIo::new(stream)).await;
