--- a/src/config.rs
+++ b/src/config.rs
@@ -8,9 +8,9 @@
 mod record;
 mod route;
 mod service;
-mod set;
 mod store;
 mod target;
+mod target_set;
 
 pub use {
   digest::Digest,
@@ -21,7 +21,7 @@
   record::Record,
   route::Route,
   service::Service,
-  set::Set,
   store::{HISTORY_LIMIT, Store, Verdict},
   target::Target,
+  target_set::TargetSet,
 };
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Key, Set},
+  super::{Key, TargetSet},
   crate::Revision,
   serde::{Deserialize, Serialize},
 };
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
   /// Earlier target sets of a service, newest first; empty for other documents.
-  pub history: Vec<Set>,
+  pub history: Vec<TargetSet>,
   /// The document's key.
   pub key: Key,
   /// The revision that the platform gave the document.
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Digest, Document, Instance, Key, Keyring, Record, Service, Set},
+  super::{Digest, Document, Instance, Key, Keyring, Record, Service, TargetSet},
   crate::{Revision, code::Fault, id},
   std::{
     collections::{BTreeMap, HashMap},
@@ -33,7 +33,7 @@
   /// The document in force with its revision; none if there was no valid one or it was deleted.
   in_force: Option<(Revision, Document)>,
   /// Earlier target sets of a service, newest first.
-  history: Vec<Set>,
+  history: Vec<TargetSet>,
   /// Why the newest record is invalid, if it is.
   fault: Option<Fault>,
   /// The newest valid record if the newest one is invalid, for peers that have neither.
@@ -62,7 +62,7 @@
   }
 
   /// Earlier target sets of a service, newest first; empty if the service is unknown.
-  pub fn history(&self, id: id::Service) -> &[Set] {
+  pub fn history(&self, id: id::Service) -> &[TargetSet] {
     self
       .entries
       .get(&Key::Service(id))
@@ -234,7 +234,7 @@
         if let Some((revision, Document::Service(service))) = before {
           history.insert(
             0,
-            Set {
+            TargetSet {
               revision,
               targets: service.targets,
             },
@@ -271,7 +271,11 @@
 
 /// Adds the offered history and keeps the newest `HISTORY_LIMIT` sets, newest first, without the
 /// set in force and without sets that equal the next newer one.
-fn merge_histories(history: &mut Vec<Set>, offered: &[Set], in_force: Option<Revision>) {
+fn merge_histories(
+  history: &mut Vec<TargetSet>,
+  offered: &[TargetSet],
+  in_force: Option<Revision>,
+) {
   history.extend(offered.iter().cloned());
   history.retain(|set| Some(set.revision) != in_force);
   history.sort_by_key(|set| std::cmp::Reverse(set.revision));
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -1,6 +1,6 @@
 use crate::{
   Revision,
-  config::{Instance, Keyring, Service, Set, Store},
+  config::{Instance, Keyring, Service, Store, TargetSet},
   id,
 };
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct InForce {
   /// Its earlier target sets, newest first.
-  pub history: Vec<Set>,
+  pub history: Vec<TargetSet>,
   /// The revision of its document.
   pub revision: Revision,
   /// The parsed document.
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -45,7 +45,7 @@
   pub fn new(
     revision: Revision,
     service: &config::Service,
-    history: &[config::Set],
+    history: &[config::TargetSet],
     recent: usize,
     health: impl Fn(&config::Target) -> Health,
   ) -> Self {
--- a/tests/machines/routing.rs
+++ b/tests/machines/routing.rs
@@ -3,7 +3,7 @@
   assert_matches::assert_matches,
   fallwell::{
     Code, Revision,
-    config::Set,
+    config::TargetSet,
     id,
     routing::{Health, Loads, Machine, Path, Route, Table},
     wire::Flow,
@@ -137,7 +137,7 @@
 
 #[test]
 fn packet_naming_a_target_of_a_previous_set_is_sent_to_it() {
-  let history = [Set {
+  let history = [TargetSet {
     revision: Revision(1),
     targets: vec![target(9)],
   }];
