--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -8,7 +8,7 @@
     id,
     membership::{self, Action, Event, Member},
     net::{Batch, Socket},
-    peer::{InForce, View},
+    peer::{ServiceInForce, View},
     routing::Table,
     state::Registry,
     supervisor::Stop,
@@ -149,7 +149,7 @@
       .map(|instance| instance.tunnel)
       .collect::<Vec<_>>();
     let mut listed = Vec::new();
-    for InForce {
+    for ServiceInForce {
       history, service, ..
     } in &self.view.services
     {
@@ -309,7 +309,7 @@
   }
 
   /// The number of sets, the current one included, that opening packets are routed by.
-  fn recent_sets(&self, now: Instant, in_force: &InForce) -> usize {
+  fn recent_sets(&self, now: Instant, in_force: &ServiceInForce) -> usize {
     let mut successor = in_force.revision;
     let mut recent = 1;
     for set in &in_force.history {
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -12,14 +12,14 @@
   /// The tag secrets; none until a keyring is in force.
   pub keyring: Option<Keyring>,
   /// The services in force.
-  pub services: Vec<InForce>,
+  pub services: Vec<ServiceInForce>,
   /// The machine's version of which this is the snapshot.
   pub version: u64,
 }
 
 /// A service in force with its revision and history.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ServiceInForce {
   /// Its earlier target sets, newest first.
   pub history: Vec<TargetSet>,
   /// The revision of its document.
@@ -31,7 +31,7 @@
 impl View {
   /// Copies what is in force in the store.
   pub fn new(store: &Store, version: u64) -> Self {
-    let services = store.services().map(|(revision, service)| InForce {
+    let services = store.services().map(|(revision, service)| ServiceInForce {
       history: store.history(service.id).to_vec(),
       revision,
       service: service.clone(),
@@ -45,7 +45,7 @@
   }
 
   /// The service with this id; none if it is not in force.
-  pub fn service(&self, id: id::Service) -> Option<&InForce> {
+  pub fn service(&self, id: id::Service) -> Option<&ServiceInForce> {
     self.services.iter().find(|entry| entry.service.id == id)
   }
 }
