--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -6,7 +6,7 @@
     config::{Presence, Role},
     flow::{self, Action, Event, Forward, Machine},
     net::{Batch, Outbox},
-    peer::{Node, View},
+    peer::{ConfigView, Node},
     routing::{Health, Table},
     state::Registry,
     supervisor::Stop,
@@ -85,7 +85,7 @@
   }
 
   /// Handles frames until it is stopped.
-  pub fn run(&mut self, views: &Receiver<Arc<View>>, stop: &Stop) -> Result<(), Fault> {
+  pub fn run(&mut self, views: &Receiver<Arc<ConfigView>>, stop: &Stop) -> Result<(), Fault> {
     let mut events = Events::with_capacity(8);
     let mut last_run = Instant::now();
     let mut last_expiry = Instant::now();
@@ -388,7 +388,7 @@
 
   /// Puts a new configuration in force for all threads. Fails when the keyring has an invalid
   /// secret.
-  fn apply_view(&mut self, view: &View) -> Result<(), Fault> {
+  fn apply_view(&mut self, view: &ConfigView) -> Result<(), Fault> {
     let settings = &self.shared.settings;
     let balancers = view
       .instances
--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -8,7 +8,7 @@
     id,
     membership::{self, Action, Event, Member},
     net::{Batch, Socket},
-    peer::{ServiceInForce, View},
+    peer::{ConfigView, ServiceInForce},
     routing::Table,
     state::Registry,
     supervisor::Stop,
@@ -55,7 +55,7 @@
   packets_in: u64,
   packets_out: u64,
   tunnel: Socket,
-  view: Arc<View>,
+  view: Arc<ConfigView>,
   workers: Vec<Sender<Arc<Snapshot>>>,
 }
 
@@ -63,7 +63,7 @@
   /// Binds a socket for probes and sends the workers their first snapshot.
   pub fn new(
     tunnel: SocketAddr,
-    view: Arc<View>,
+    view: Arc<ConfigView>,
     counter: Arc<Counter>,
     registry: Registry,
     workers: Vec<Sender<Arc<Snapshot>>>,
@@ -91,7 +91,7 @@
   /// Processes views and reports until the supervisor stops it. Fails if a keyring is unusable.
   pub fn run(
     &mut self,
-    views: &Receiver<Arc<View>>,
+    views: &Receiver<Arc<ConfigView>>,
     reports: &Receiver<Report>,
     stop: &Stop,
   ) -> Result<(), Fault> {
@@ -115,7 +115,7 @@
     Ok(())
   }
 
-  fn apply_view(&mut self, view: Arc<View>) -> Result<(), Fault> {
+  fn apply_view(&mut self, view: Arc<ConfigView>) -> Result<(), Fault> {
     let now = Instant::now();
     self.view = view;
     for in_force in &self.view.services {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,5 +18,5 @@
   role::Role,
   server::{PeerClient, Server},
   settings::Settings,
-  view::{ServiceInForce, View},
+  view::{ConfigView, ServiceInForce},
 };
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Client, Event, Machine, Message, View},
+  super::{Client, ConfigView, Event, Machine, Message},
   crate::{Code, counter::Counter, settings::bound, state::Registry},
   crossbeam::channel::Sender,
   serde_json::json,
@@ -24,7 +24,7 @@
   counter: Arc<Counter>,
   machine: Mutex<Machine>,
   sync_requested: AtomicBool,
-  views: Sender<Arc<View>>,
+  views: Sender<Arc<ConfigView>>,
 }
 
 impl Node {
@@ -36,7 +36,7 @@
     machine: Machine,
     counter: Arc<Counter>,
     registry: Registry,
-    views: Sender<Arc<View>>,
+    views: Sender<Arc<ConfigView>>,
   ) -> Arc<Self> {
     Arc::new(Self {
       address,
@@ -163,9 +163,9 @@
   }
 
   /// A snapshot of the configuration in force.
-  pub fn view(&self) -> Arc<View> {
+  pub fn view(&self) -> Arc<ConfigView> {
     let machine = self.machine();
-    Arc::new(View::new(machine.store(), machine.version()))
+    Arc::new(ConfigView::new(machine.store(), machine.version()))
   }
 
   fn step(&self, event: Event) -> Vec<(SocketAddr, Message)> {
@@ -173,14 +173,14 @@
     let before = machine.version();
     let outgoing = machine.step(Instant::now(), event);
     if machine.version() != before {
-      let view = Arc::new(View::new(machine.store(), machine.version()));
+      let view = Arc::new(ConfigView::new(machine.store(), machine.version()));
       self.publish_state(&machine, &view);
       let _ = self.views.send(view);
     }
     outgoing
   }
 
-  fn publish_state(&self, machine: &Machine, view: &View) {
+  fn publish_state(&self, machine: &Machine, view: &ConfigView) {
     let store = machine.store();
     let services = view.services.iter().map(|entry| {
       json!({
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -6,7 +6,7 @@
 
 /// A snapshot of the configuration in force, for the other parts of a process.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct ConfigView {
   /// The listed instances.
   pub instances: Vec<Instance>,
   /// The tag secrets; none until a keyring is in force.
@@ -28,7 +28,7 @@
   pub service: Service,
 }
 
-impl View {
+impl ConfigView {
   /// Copies what is in force in the store.
   pub fn new(store: &Store, version: u64) -> Self {
     let services = store.services().map(|(revision, service)| ServiceInForce {
