--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -13,7 +13,7 @@
   },
   crate::{
     Code, id,
-    ledger::{self, Action, Event, Outcome, Past},
+    ledger::{self, Action, EarlierRuns, Event, Outcome},
     routing::{self, Hop},
   },
   bytes::BytesMut,
@@ -86,11 +86,11 @@
   if !known && shared.is_leaving() {
     return Reply::Problem(Problem::new(Code::RequestKeyMoved));
   }
-  let past = if known {
-    Past::Clear
+  let earlier_runs = if known {
+    EarlierRuns::Clear
   } else {
     match claim_from_earlier(shared, &call, key, earlier, ledger_lost).await {
-      Ok(past) => past,
+      Ok(earlier_runs) => earlier_runs,
       Err(reply) => return *reply,
     }
   };
@@ -98,7 +98,7 @@
     fingerprint: call.fingerprint(),
     first: call.is_first(),
     key,
-    past,
+    earlier_runs,
   };
   let (action, receiver) = shared.admit_key(key, event);
   match action {
@@ -119,30 +119,34 @@
   key: u128,
   earlier: &[id::Target],
   ledger_lost: bool,
-) -> Result<Past, Box<Reply>> {
+) -> Result<EarlierRuns, Box<Reply>> {
   let mut homes = shared.earlier_homes(key);
   homes.extend(earlier.iter().copied());
-  let mut past = if ledger_lost { Past::Lost } else { Past::Clear };
+  let mut earlier_runs = if ledger_lost {
+    EarlierRuns::Lost
+  } else {
+    EarlierRuns::Clear
+  };
   if homes.remove(&shared.settings.target) && shared.has_started_within_window() {
     // A previous incarnation of this target may have run it.
-    past = Past::Lost;
+    earlier_runs = EarlierRuns::Lost;
   }
   for hop in hops(shared, homes) {
     match claim(shared, call, hop).await {
       Claim::Answered(answer) => {
         return Err(Box::new(Reply::Streamed(Streamed::new(answer, None))));
       }
-      Claim::Lost if past == Past::Clear => past = Past::Lost,
+      Claim::Lost if earlier_runs == EarlierRuns::Clear => earlier_runs = EarlierRuns::Lost,
       Claim::Clear | Claim::Lost => {}
       Claim::Unknown => {
         return Err(Box::new(Reply::Problem(Problem::new(
           Code::RequestOutcomeUnknown,
         ))));
       }
-      Claim::Unreachable => past = Past::Unreachable,
+      Claim::Unreachable => earlier_runs = EarlierRuns::Unreachable,
     }
   }
-  Ok(past)
+  Ok(earlier_runs)
 }
 
 /// The result of claiming a key from an earlier home.
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -7,6 +7,6 @@
 
 pub use {
   answer::Answer,
-  machine::{Action, Event, Machine, Outcome, Past},
+  machine::{Action, EarlierRuns, Event, Machine, Outcome},
   settings::Settings,
 };
--- a/src/ledger/machine.rs
+++ b/src/ledger/machine.rs
@@ -13,7 +13,7 @@
 /// What is known about earlier requests with a key at its previous homes: the targets that
 /// were responsible for the key within the repeat window.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Past {
+pub enum EarlierRuns {
   /// The key was not run elsewhere: there is no previous home, or each has given the key up without
   /// having run it.
   Clear,
@@ -40,7 +40,7 @@
     /// A hash of the idempotency key.
     key: u128,
     /// What is known about the key at its previous homes; used only if the key is unknown here.
-    past: Past,
+    earlier_runs: EarlierRuns,
   },
 }
 
@@ -152,8 +152,8 @@
         fingerprint,
         first,
         key,
-        past,
-      } => self.admit(now, key, fingerprint, first, past),
+        earlier_runs,
+      } => self.admit(now, key, fingerprint, first, earlier_runs),
     }
   }
 
@@ -177,7 +177,7 @@
     key: u128,
     fingerprint: u64,
     first: bool,
-    past: Past,
+    earlier_runs: EarlierRuns,
   ) -> Action {
     if let Some(entry) = self.entries.get_mut(&key) {
       entry.last_use = now;
@@ -190,10 +190,10 @@
         State::Running => Action::Wait,
       };
     }
-    match (past, first) {
-      (Past::Clear, _) | (Past::Lost, true) => {}
-      (Past::Lost | Past::Unreachable, false) => return Action::Unknown,
-      (Past::Unreachable, true) => return Action::NotRun(Code::RequestHomeUnreachable),
+    match (earlier_runs, first) {
+      (EarlierRuns::Clear, _) | (EarlierRuns::Lost, true) => {}
+      (EarlierRuns::Lost | EarlierRuns::Unreachable, false) => return Action::Unknown,
+      (EarlierRuns::Unreachable, true) => return Action::NotRun(Code::RequestHomeUnreachable),
     }
     if self.memory + ENTRY_BYTES > self.settings.memory_max {
       return Action::NotRun(Code::RequestLedgerFull);
--- a/tests/machines/ledger.rs
+++ b/tests/machines/ledger.rs
@@ -2,7 +2,7 @@
   bytes::Bytes,
   fallwell::{
     Code,
-    ledger::{Action, Answer, Event, Machine, Outcome, Past, Settings},
+    ledger::{Action, Answer, EarlierRuns, Event, Machine, Outcome, Settings},
   },
   http::{HeaderMap, StatusCode},
   proptest::prelude::*,
@@ -21,17 +21,17 @@
   }
 }
 
-fn request(key: u128, first: bool, past: Past) -> Event {
+fn request(key: u128, first: bool, earlier_runs: EarlierRuns) -> Event {
   Event::Request {
     fingerprint: 1,
     first,
     key,
-    past,
+    earlier_runs,
   }
 }
 
 fn plain_request(key: u128) -> Event {
-  request(key, false, Past::Clear)
+  request(key, false, EarlierRuns::Clear)
 }
 
 #[test]
@@ -57,7 +57,7 @@
     fingerprint: 2,
     first: false,
     key: 1,
-    past: Past::Clear,
+    earlier_runs: EarlierRuns::Clear,
   };
   assert_eq!(ledger.step(now, other), Action::Conflict);
 }
@@ -89,9 +89,12 @@
 fn after_a_lost_home_first_attempts_run_and_retries_do_not() {
   let mut ledger = Machine::new(Settings::default());
   let now = Instant::now();
-  assert_eq!(ledger.step(now, request(1, true, Past::Lost)), Action::Run);
   assert_eq!(
-    ledger.step(now, request(2, false, Past::Lost)),
+    ledger.step(now, request(1, true, EarlierRuns::Lost)),
+    Action::Run
+  );
+  assert_eq!(
+    ledger.step(now, request(2, false, EarlierRuns::Lost)),
     Action::Unknown
   );
 }
@@ -101,11 +104,11 @@
   let mut ledger = Machine::new(Settings::default());
   let now = Instant::now();
   assert_eq!(
-    ledger.step(now, request(1, true, Past::Unreachable)),
+    ledger.step(now, request(1, true, EarlierRuns::Unreachable)),
     Action::NotRun(Code::RequestHomeUnreachable)
   );
   assert_eq!(
-    ledger.step(now, request(1, false, Past::Unreachable)),
+    ledger.step(now, request(1, false, EarlierRuns::Unreachable)),
     Action::Unknown
   );
   assert_eq!(ledger.run_count(), 0);
@@ -176,7 +179,7 @@
     1 => key.clone().prop_map(Step::Claim),
     6 => (key.clone(), 0..4_u8).prop_map(|(key, outcome_number)| Step::Finish(key, outcome_number)),
     1 => (0..400_u16).prop_map(Step::Advance),
-    10 => (key, any::<bool>(), 0..4_u8).prop_map(|(key, first, past)| Step::Request(key, first, past)),
+    10 => (key, any::<bool>(), 0..4_u8).prop_map(|(key, first, earlier_runs)| Step::Request(key, first, earlier_runs)),
   ]
 }
 
@@ -211,9 +214,9 @@
           ledger.step(now, Event::Finished(key, outcome));
         }
         Step::Advance(seconds) => now += Duration::from_secs(seconds.into()),
-        Step::Request(key, first, past) => {
-          let past = [Past::Clear, Past::Clear, Past::Lost, Past::Unreachable][usize::from(past)];
-          if ledger.step(now, request(key, first, past)) == Action::Run {
+        Step::Request(key, first, earlier_runs) => {
+          let earlier_runs = [EarlierRuns::Clear, EarlierRuns::Clear, EarlierRuns::Lost, EarlierRuns::Unreachable][usize::from(earlier_runs)];
+          if ledger.step(now, request(key, first, earlier_runs)) == Action::Run {
             prop_assert!(running.insert(key, now).is_none(), "a key ran while it was running");
             if let Some(at) = ended_at.get(&key) {
               prop_assert!(now.duration_since(*at) >= settings.window, "a key ran twice");
