--- a/src/admission/machine.rs
+++ b/src/admission/machine.rs
@@ -22,7 +22,7 @@
     /// The request's number.
     ticket: Ticket,
     /// Whether it may be queued; false for a request that a peer handed off.
-    waits: bool,
+    may_wait: bool,
   },
   /// A queued or running request ended or was cancelled.
   Ended(Ticket),
@@ -100,14 +100,14 @@
         caller,
         start_by,
         ticket,
-        waits,
+        may_wait,
       } => {
         let waiting = Waiting {
           caller,
           start_by,
           ticket,
         };
-        self.admit(now, waiting, waits, &mut actions);
+        self.admit(now, waiting, may_wait, &mut actions);
       }
       Event::Ended(ticket) => self.remove(now, ticket),
       Event::Tick => {}
@@ -117,7 +117,7 @@
     actions
   }
 
-  fn admit(&mut self, now: Instant, new: Waiting, waits: bool, actions: &mut Vec<Action>) {
+  fn admit(&mut self, now: Instant, new: Waiting, may_wait: bool, actions: &mut Vec<Action>) {
     if new.start_by <= now {
       actions.push(Action::Shed(new.ticket, self.retry_after()));
       return;
@@ -126,7 +126,7 @@
       self.start(now, new, actions);
       return;
     }
-    if !waits {
+    if !may_wait {
       actions.push(Action::Shed(new.ticket, self.retry_after()));
       return;
     }
--- a/src/agent/slots.rs
+++ b/src/agent/slots.rs
@@ -62,7 +62,7 @@
         caller,
         start_by,
         ticket,
-        waits: may_wait,
+        may_wait,
       };
       inner.step(event);
       Slot {
--- a/tests/machines/admission.rs
+++ b/tests/machines/admission.rs
@@ -14,12 +14,12 @@
   })
 }
 
-fn arrived(now: Instant, ticket: u64, caller: u64, waits: bool) -> Event {
+fn arrived(now: Instant, ticket: u64, caller: u64, may_wait: bool) -> Event {
   Event::Arrived {
     caller,
     start_by: now + Duration::from_secs(1) + Duration::from_millis(ticket),
     ticket: Ticket(ticket),
-    waits,
+    may_wait,
   }
 }
 
@@ -58,7 +58,7 @@
       caller: ticket,
       start_by: now + Duration::from_millis(start_by_ms),
       ticket: Ticket(ticket),
-      waits: true,
+      may_wait: true,
     };
     machine.step(now, event);
   }
@@ -144,7 +144,7 @@
           next += 1;
           let start_by = now + Duration::from_millis(time);
           deadlines.push(start_by);
-          Event::Arrived { caller, start_by, ticket: Ticket(next), waits: kind == 0 }
+          Event::Arrived { caller, start_by, ticket: Ticket(next), may_wait: kind == 0 }
         }
         2 if !running.is_empty() => {
           Event::Ended(running.remove(time as usize % running.len()))
