--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -433,7 +433,7 @@
   }
 
   fn publish_state(&self) {
-    let (owned, passed) = self.machine.remembered();
+    let (owned, passed) = self.machine.key_counts();
     let (callers, balancers) = self.shared.path().len();
     let (running, waiting) = self.shared.slots.size();
     let serving = self.table.is_some() && self.shared.serving.load(Ordering::Relaxed);
--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -99,7 +99,7 @@
   }
 
   /// The numbers of owned and of forwarded flows that are remembered.
-  pub fn remembered(&self) -> (usize, usize) {
+  pub fn key_counts(&self) -> (usize, usize) {
     (self.owned.len(), self.forwarded.len())
   }
 
--- a/tests/machines/flow.rs
+++ b/tests/machines/flow.rs
@@ -152,7 +152,7 @@
   for key in 0..1000 {
     step(&mut machine, &carry(Flow::Keyed { key, opens: true }), 0);
   }
-  let (owned, forwarded) = machine.remembered();
+  let (owned, forwarded) = machine.key_counts();
   assert!(
     owned <= 10 && forwarded <= 10,
     "{owned} owned, {forwarded} forwarded"
--- a/tests/machines/world.rs
+++ b/tests/machines/world.rs
@@ -283,7 +283,7 @@
         return Fate::Lost(id);
       };
       let table = table(&agent.store, &BTreeSet::new());
-      let flows = agent.machine.remembered().0 as u32;
+      let flows = agent.machine.key_counts().0 as u32;
       let event = Event::Carry {
         carry: &carry,
         flows,
