--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -54,7 +54,7 @@
   let key: Key = key.parse()?;
   let text = fs::read_to_string(path)
     .map_err(|error| Fault::new(Code::DocumentUnreadable, format!("{path}: {error}")))?;
-  Document::read(key, &text)
+  Document::parse(key, &text)
     .map_err(|fault| Fault::new(fault.code, format!("{path}: {}", fault.detail)))?;
   println!("{path}: document is valid for {key}");
   Ok(())
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -23,7 +23,7 @@
   ///
   /// Fails when the text is too long, is no valid JSON of its kind, has another id than the key, or
   /// has a value out of range.
-  pub fn read(key: Key, text: &str) -> Result<Self, Fault> {
+  pub fn parse(key: Key, text: &str) -> Result<Self, Fault> {
     if text.len() > SIZE_LIMIT {
       return Err(Fault::new(
         Code::DocumentOversized,
@@ -35,17 +35,17 @@
     }
     match key {
       Key::Instance(id) => {
-        let instance = parse::<Instance>(key, text)?;
+        let instance = parse_json::<Instance>(key, text)?;
         check_id(key, instance.id == id)?;
         Ok(Self::Instance(instance))
       }
       Key::Keyring => {
-        let keyring = parse::<Keyring>(key, text)?;
+        let keyring = parse_json::<Keyring>(key, text)?;
         keyring.check()?;
         Ok(Self::Keyring(keyring))
       }
       Key::Service(id) => {
-        let service = parse::<Service>(key, text)?;
+        let service = parse_json::<Service>(key, text)?;
         check_id(key, service.id == id)?;
         service.check()?;
         Ok(Self::Service(service))
@@ -54,7 +54,7 @@
   }
 }
 
-fn parse<T: DeserializeOwned>(key: Key, text: &str) -> Result<T, Fault> {
+fn parse_json<T: DeserializeOwned>(key: Key, text: &str) -> Result<T, Fault> {
   serde_json::from_str(text)
     .map_err(|error| Fault::new(Code::DocumentUnreadable, format!("{key}: {error}")))
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -221,7 +221,7 @@
     let parsed = record
       .text
       .as_deref()
-      .map(|text| Document::read(key, text))
+      .map(|text| Document::parse(key, text))
       .transpose();
     let old = self.entries.remove(&key);
     let (mut history, before, mut last_valid) = match old {
