--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -1,25 +1,25 @@
-//! Services whose flows are carried whole, as datagrams between a caller and its upstream.
+//! Datagram services: each flow is carried as datagrams between a caller and one upstream.
 //!
-//! No packet names its target, so a balancer remembers where it placed a flow, and asks the agents
-//! where it does not know. An agent sees both directions and knows the flows of its upstream.
+//! No packet names its target, so a balancer remembers where it placed a flow and queries the
+//! agents when it doesn't know. An agent sees both directions and knows all flows of its upstream.
 
 pub mod agent;
 mod backends;
 pub mod balancer;
-/// Several frames in one datagram.
+/// Packing of several frames into one datagram.
 pub mod bundle;
 mod catalog;
 mod changed;
 mod closures;
 mod codec;
 mod configuration;
-/// What machines are told.
+/// The events that a machine handles, and the interface of a machine.
 pub mod event;
 mod flow;
 mod former;
-/// What passes between the processes in datagrams.
+/// The messages that processes exchange as datagrams.
 pub mod frame;
-/// What an agent that stops leaves to its next run.
+/// Transfer of a stopping agent's flow table to its next incarnation.
 pub mod handover;
 mod head;
 mod load;
@@ -28,11 +28,11 @@
 mod patience;
 mod rate;
 mod record;
-/// The names of services.
+/// Names of services, and their digests.
 pub mod service;
 mod settings;
 mod spread;
-/// The platform's list of targets.
+/// Targets as the platform lists them.
 pub mod target;
 mod warmup;
 
--- a/src/datagram/spread.rs
+++ b/src/datagram/spread.rs
@@ -20,62 +20,73 @@
   xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How long a balancer that is not heard of is still told, so that it finds its peers again when
-/// it comes back.
-const TOLD: Duration = Duration::from_mins(5);
+/// How long a balancer is still sent statuses after its last frame, so that it finds its peers
+/// again when it comes back.
+const PEER_TTL: Duration = Duration::from_mins(5);
 
-/// After so much silence a balancer that speaks again is worth a line: those of other data centres
-/// tell agents only every two seconds.
-const LOST: Duration = Duration::from_secs(5);
+/// A balancer that is heard from after this long is logged; balancers in other data centres send a
+/// status to agents only every two seconds.
+const LOST_AFTER: Duration = Duration::from_secs(5);
 
-/// The least rest after which a flow is forgotten, whatever the configuration says.
-const IDLE_LEAST: Duration = Duration::from_secs(1);
+/// The shortest idle timeout of flows, whatever the configuration says.
+const IDLE_MIN: Duration = Duration::from_secs(1);
 
-/// How long a question to a peer may take before another is asked.
-const PULL: Duration = Duration::from_millis(500);
+/// How long an update requested from a peer may take before another peer is asked.
+const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The agents of listed targets, by where they stand.
+/// The agents of listed targets, by whether they are in this process's data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Agents {
-  /// Those of other data centres.
+  /// Agents in other data centres.
   pub far: Vec<SocketAddrV4>,
-  /// Those of this data centre.
+  /// Agents in this data centre.
   pub near: Vec<SocketAddrV4>,
 }
 
-/// Keeps the catalog and spreads it: a few balancers read the platform and push what is new; the
-/// others hear it, find by each status whether they are behind, and ask the sender.
+/// Keeps the catalog and replicates it by gossip. A few balancers read the platform and push its
+/// updates to all peers. Each status carries the sender's revision, so a process that missed an
+/// update notices and pulls it from the sender.
 #[derive(Debug)]
 pub struct Spread {
   address: SocketAddrV4,
   catalog: Catalog,
-  /// The time over which new flows are taken from a data centre that was closed.
+  /// The time over which balancers, one after another, stop placing flows in an evacuated data
+  /// centre.
   closing: Duration,
-  /// What is left of it, by how old the closing may be that was heard of last.
+  /// The part of `closing` that was left when the latest evacuation was received; the time since
+  /// the previous platform update, during which it may have been ordered, is subtracted.
   closing_left: Duration,
+  /// When the platform last confirmed the catalog.
   confirmed: Option<Instant>,
   /// Whether this process is a balancer.
   balancer: bool,
   data_centre: u32,
-  /// When agents of other data centres are told next.
-  far_agents: Instant,
-  /// Until when this process waits for a peer's word before it reads itself.
-  hears_until: Instant,
+  /// When agents in other data centres are sent the next status.
+  next_remote_agents: Instant,
+  /// Until when this process waits for an update from a peer before it reads the platform itself.
+  read_after: Instant,
   incarnation: u32,
-  /// The order of magnitude of the link's rate; 0 where that is not known.
+  /// Base-2 logarithm of the link's rate in bytes per second; 0 if unknown.
   link: u8,
+  /// When the next status is due.
   next: Instant,
   peers: BTreeMap<SocketAddrV4, Peer>,
+  /// The peer that an update was requested from, and when.
   pull: Option<(SocketAddrV4, Instant)>,
+  /// When this process started.
   started: Instant,
   stopping: bool,
   tuning: Tuning,
+  /// The number of changes of the catalog.
   version: u64,
+  /// The update request that is to be sent: the peer, and the revision after which records are
+  /// missing.
   wanted: Option<(SocketAddrV4, Revision)>,
 }
 
 impl Spread {
-  /// The spread of a process with these settings.
+  /// Creates the gossip state; `balancer` is the role of this process, and `incarnation` tells this
+  /// start of it from earlier ones.
   pub fn new(
     now: Instant,
     settings: &Settings,
@@ -93,8 +104,8 @@
       closing_left: Duration::ZERO,
       confirmed: None,
       data_centre: digest(&settings.data_centre),
-      far_agents: now,
-      hears_until: now + reading::hears(settings),
+      next_remote_agents: now,
+      read_after: now + reading::read_delay(settings),
       incarnation,
       link: settings.link.map(Rate::magnitude).unwrap_or_default(),
       next: now,
@@ -108,32 +119,32 @@
     }
   }
 
-  /// Where peers reach this process.
+  /// The address at which peers reach this process.
   pub fn address(&self) -> SocketAddrV4 {
     self.address
   }
 
-  /// What is known of the platform.
+  /// The replicated configuration and targets.
   pub fn catalog(&self) -> &Catalog {
     &self.catalog
   }
 
-  /// How long ago the platform confirmed the catalog.
+  /// How long ago the platform confirmed the catalog; none before the first confirmation.
   pub fn confirmed(&self, now: Instant) -> Option<Duration> {
     self
       .confirmed
       .map(|confirmed| now.saturating_duration_since(confirmed))
   }
 
-  /// The balancers that were heard of lately.
+  /// The balancers that have been heard from within the peer timeout.
   pub fn balancers(&self, now: Instant) -> Vec<SocketAddrV4> {
     let live = self.peers.iter();
     let live = live.filter(|(_, peer)| peer.balancer && self.is_heard(now, peer));
     live.map(|(address, _)| *address).collect()
   }
 
-  /// The balancers that may be there: those that were heard of lately, and all that are known until
-  /// they have had time to speak.
+  /// The balancers that may be alive: heard from within the peer timeout, or known for less than
+  /// that and not heard from yet.
   pub fn present(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
     let silent = self.tuning.silent;
     let present = move |peer: &Peer| {
@@ -145,46 +156,50 @@
     peers.map(|(address, _)| *address)
   }
 
-  /// How long new flows may still go to a data centre that was heard of as closed just now.
+  /// How long flows may still be placed in a data centre whose evacuation was received just now.
   pub fn closing_left(&self) -> Duration {
     self.closing_left
   }
 
-  /// When a status is due.
+  /// When the next status is due.
   pub fn deadline(&self) -> Instant {
     self.next
   }
 
-  /// Forgets what is long past.
+  /// Drops expired tombstones and former backends, and balancers that have not been heard from for
+  /// long.
   pub fn expire(&mut self, now: Instant) {
     self.catalog.expire(now);
     self.peers.retain(|_, peer| {
       let last = peer.heard.unwrap_or(peer.since);
-      now.saturating_duration_since(last) < TOLD
+      now.saturating_duration_since(last) < PEER_TTL
     });
   }
 
-  /// A frame came from a process.
+  /// Records that a frame arrived from a process.
   pub fn heard(&mut self, now: Instant, from: SocketAddrV4, balancer: bool) {
     let peer = self
       .peers
       .entry(from)
       .or_insert_with(|| Peer::new(now, balancer));
-    let long = |heard| now.saturating_duration_since(heard) >= LOST;
-    let lost = peer.heard.is_none_or(long);
+    let expired = |heard| now.saturating_duration_since(heard) >= LOST_AFTER;
+    let lost = peer.heard.is_none_or(expired);
     peer.heard = Some(now);
     if lost && balancer {
-      log::info!(peer:% = from; "spread: balancer is heard of.");
+      log::info!(peer:% = from; "spread: balancer is heard from.");
     }
   }
 
-  /// After how much rest a flow may be forgotten.
+  /// The idle timeout of flows.
   pub fn idle(&self) -> Duration {
     let configuration = self.catalog.configuration();
-    configuration.map_or(self.tuning.idle, |held| held.idle.max(IDLE_LEAST))
+    configuration.map_or(self.tuning.idle, |configuration| {
+      configuration.idle.max(IDLE_MIN)
+    })
   }
 
-  /// Whether a peer that knows the list up to a revision knows more; if so, it is asked.
+  /// Whether a peer whose catalog is complete up to a revision is ahead of this one. If so,
+  /// requests the missing update from it.
   pub fn is_behind(&mut self, now: Instant, peer: SocketAddrV4, complete: Revision) -> bool {
     let behind = complete > self.catalog.complete();
     if behind {
@@ -193,16 +208,17 @@
     behind
   }
 
-  /// Takes news. What the platform said is pushed to everybody.
+  /// Applies an update and returns what it changed. An update from the platform is pushed to all
+  /// peers.
   pub fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) -> Change {
     let (after, to) = (self.catalog.complete(), news.to);
-    // What is new came after the last word of the platform.
+    // The change happened since the platform was last heard from.
     let age = self.confirmed(now);
     let missing = news.after.is_some_and(|from| from > after);
     let change = self.catalog.offer(now, news);
     if origin == Origin::Platform {
       self.confirmed = Some(now);
-      // The others count on this word, and read themselves where it stays away.
+      // Peers start reading the platform themselves if the reader's status stays away.
       self.next = now;
     } else {
       self.pull = None;
@@ -215,23 +231,24 @@
       log::info!(
         version:% = self.catalog.version(), revision:% = self.catalog.complete(),
         origin:? = origin, targets = change.targets.len(), configuration = change.configuration;
-        "spread: news is in force."
+        "spread: update is applied."
       );
     }
     if let (true, Origin::Peer(from)) = (missing, origin) {
       self.want(now, from, to);
     }
-    // Who is told of nothing new still learns that the platform was read up to here, and need not ask.
+    // Pushed even if it changes nothing: receivers learn that the catalog is complete up to here
+    // and don't request an update.
     if origin == Origin::Platform && self.catalog.complete() > after {
       self.push(now, after, out);
     }
     change
   }
 
-  /// The services that addresses led to and lead to no longer, as far as known.
+  /// The services that addresses were routed to before, for a peer that has started.
   pub fn led(&self, now: Instant) -> Vec<Led> {
-    let left = self.catalog.former().all();
-    let routed = left.filter(|(address, ..)| self.catalog.route(address).is_some());
+    let all = self.catalog.former().all();
+    let routed = all.filter(|(address, ..)| self.catalog.route(address).is_some());
     let led = routed.map(|(address, service, at)| Led {
       address,
       age_ms: now.saturating_duration_since(at).as_millis() as u32,
@@ -240,7 +257,7 @@
     led.collect()
   }
 
-  /// A peer says which services addresses led to.
+  /// Imports the former backends that a peer knows of.
   pub fn remember(&mut self, now: Instant, led: &[Led]) {
     for led in led {
       let at = now.checked_sub(Duration::from_millis(led.age_ms.into()));
@@ -249,7 +266,7 @@
     }
   }
 
-  /// A process told of itself.
+  /// Handles the status of another process.
   pub fn status(&mut self, now: Instant, from: SocketAddrV4, status: &Status) {
     let balancer = status.role == Role::Balancer;
     self.heard(now, from, balancer);
@@ -266,8 +283,8 @@
       peer.complete = status.complete;
       peer.data_centre = Some(status.data_centre);
       if peer.incarnation.replace(status.incarnation) != Some(status.incarnation) {
-        // A run that has just started does not know this process.
-        peer.told = None;
+        // A new incarnation doesn't know this process yet.
+        peer.last_sent = None;
       }
       peer.link = status.link;
       peer.stopping = status.stopping;
@@ -280,7 +297,7 @@
     }
   }
 
-  /// What is known of the platform and of the peers, for an operator.
+  /// The state as JSON, for operators.
   pub fn dump(&self, now: Instant) -> serde_json::Value {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
     let peers = self.peers.iter();
@@ -316,7 +333,7 @@
     })
   }
 
-  /// Takes other seeds.
+  /// Adds the seeds of reloaded settings.
   pub fn reseed(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
     for seed in seeds.iter().filter(|seed| **seed != self.address) {
       self
@@ -326,42 +343,44 @@
     }
   }
 
-  /// The process is about to stop.
+  /// Announces in the next status, which becomes due now, that this process is stopping.
   pub fn stop(&mut self, now: Instant) {
     self.stopping = true;
     self.next = now;
   }
 
-  /// A peer that was asked could not be reached.
+  /// Ends the pull from a peer that could not be reached.
   pub fn unreachable(&mut self, from: SocketAddrV4) {
-    if self.pull.is_some_and(|(asked, _)| asked == from) {
+    if self.pull.is_some_and(|(peer, _)| peer == from) {
       self.pull = None;
     }
   }
 
-  /// Whether a process was never heard of.
+  /// Whether a process has never been heard from.
   pub fn is_new(&self, process: SocketAddrV4) -> bool {
     let peer = self.peers.get(&process);
     peer.is_none_or(|peer| peer.heard.is_none())
   }
 
-  /// Whether all processes keep in touch with each other; otherwise one that is silent may be there.
+  /// Whether the overlay is a full mesh. Otherwise a process that is never heard from may still be
+  /// alive.
   pub fn knows_all(&self) -> bool {
     self.links().are_all()
   }
 
-  /// Who of other data centres this process keeps in touch with.
+  /// The peers in other data centres that this process exchanges statuses with.
   fn links(&self) -> Links {
     let balancers = self.peers.values().filter(|peer| peer.balancer);
     Links::new(self.address, balancers.count())
   }
 
-  /// What is to be asked of whom, once.
+  /// Takes the update request that is to be sent next: the peer, and the revision after which
+  /// records are missing.
   pub fn take_wanted(&mut self) -> Option<(SocketAddrV4, Revision)> {
     self.wanted.take()
   }
 
-  /// A count that rises with each change of the catalog.
+  /// Counts the changes of the catalog.
   pub fn version(&self) -> u64 {
     self.version
   }
@@ -375,17 +394,20 @@
   fn want(&mut self, now: Instant, from: SocketAddrV4, revision: Revision) {
     let busy = self
       .pull
-      .is_some_and(|(_, since)| now.saturating_duration_since(since) < PULL);
+      .is_some_and(|(_, since)| now.saturating_duration_since(since) < PULL_TIMEOUT);
     if busy {
       return;
     }
-    log::debug!(peer:% = from, revision:% = revision; "spread: peer knows more and is asked.");
+    log::debug!(
+      peer:% = from, revision:% = revision;
+      "spread: peer is ahead; requesting the update."
+    );
     self.pull = Some((from, now));
     self.wanted = Some((from, self.catalog.complete()));
   }
 }
 
-/// A hash of a name that is the same in every process.
+/// A hash of a name that doesn't depend on the process or build.
 fn digest(name: &str) -> u32 {
   xxh3_64(name.as_bytes()) as u32
 }
--- a/src/datagram/spread/links.rs
+++ b/src/datagram/spread/links.rs
@@ -1,34 +1,34 @@
 use {std::net::SocketAddrV4, xxhash_rust::xxh3::xxh3_64};
 
-/// How many balancers of other data centres a process keeps in touch with where there are more: enough
-/// that those who are in touch hear of each other over a few, and to have other targets to go to.
-const MOST: usize = 32;
+/// How many balancers of other data centres a process exchanges statuses with, on average: enough
+/// that an update reaches all over a few hops.
+const DEGREE: usize = 32;
 
-/// Which processes of other data centres a process keeps in touch with. Where all told all of
-/// themselves, what is told would grow as the square of the fleet.
+/// The overlay of pairs that exchange statuses across data centres. A full mesh would send a number
+/// of statuses that grows with the square of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
   own: SocketAddrV4,
-  /// The part of all pairs that keep in touch, of `u32::MAX`.
-  part: u32,
+  /// The fraction of all pairs that exchange statuses, scaled to `u32::MAX`.
+  share: u32,
 }
 
 impl Links {
-  /// The links of a process that knows so many balancers.
+  /// The overlay as seen by a process that knows `balancers` other balancers.
   pub fn new(own: SocketAddrV4, balancers: usize) -> Self {
-    let part = MOST as f64 / balancers.max(1) as f64;
+    let share = DEGREE as f64 / balancers.max(1) as f64;
     Self {
       own,
-      part: (part.min(1.0) * f64::from(u32::MAX)) as u32,
+      share: (share.min(1.0) * f64::from(u32::MAX)) as u32,
     }
   }
 
-  /// Whether every process keeps in touch with every other.
+  /// Whether every pair exchanges statuses.
   pub fn are_all(self) -> bool {
-    self.part == u32::MAX
+    self.share == u32::MAX
   }
 
-  /// Whether this process keeps in touch with another: both find the same.
+  /// Whether this process exchanges statuses with another; both come to the same result.
   pub fn has(self, other: SocketAddrV4) -> bool {
     let (low, high) = if self.own < other {
       (self.own, other)
@@ -38,6 +38,6 @@
     let mut pair = [0; 8];
     pair[..4].copy_from_slice(&low.ip().octets());
     pair[4..].copy_from_slice(&high.ip().octets());
-    xxh3_64(&pair) as u32 <= self.part
+    xxh3_64(&pair) as u32 <= self.share
   }
 }
--- a/src/datagram/spread/peer.rs
+++ b/src/datagram/spread/peer.rs
@@ -1,30 +1,30 @@
 use {crate::Revision, std::time::Instant};
 
-/// What is known of another process.
+/// The state of another process, as seen by this one.
 #[derive(Clone, Debug)]
 pub struct Peer {
   /// Whether it is a balancer.
   pub balancer: bool,
-  /// The revision up to which it knows the list.
+  /// The revision up to which its catalog is complete.
   pub complete: Revision,
-  /// The hash of its data centre's name, once it has told.
+  /// The hash of its data centre's name; none before its first status.
   pub data_centre: Option<u32>,
-  /// Which run of it told of itself last.
+  /// The incarnation that sent its latest status.
   pub incarnation: Option<u32>,
-  /// When it was last heard of.
+  /// When a frame last arrived from it.
   pub heard: Option<Instant>,
-  /// The order of magnitude of its link's rate; 0 where that is not known.
+  /// Base-2 logarithm of its link's rate in bytes per second; 0 if unknown.
   pub link: u8,
-  /// When it became known.
+  /// When this process learned of it.
   pub since: Instant,
   /// Whether it is about to stop.
   pub stopping: bool,
-  /// When it was last told of this process.
-  pub told: Option<Instant>,
+  /// When it was last sent a status.
+  pub last_sent: Option<Instant>,
 }
 
 impl Peer {
-  /// One that was not heard of yet.
+  /// A process that has not been heard from yet.
   pub fn new(now: Instant, balancer: bool) -> Self {
     Self {
       balancer,
@@ -35,7 +35,7 @@
       link: 0,
       since: now,
       stopping: false,
-      told: None,
+      last_sent: None,
     }
   }
 }
--- a/src/datagram/spread/reading.rs
+++ b/src/datagram/spread/reading.rs
@@ -1,4 +1,4 @@
-//! Which processes read the platform.
+//! Selects the processes that read the platform.
 
 use {
   super::Spread,
@@ -11,18 +11,19 @@
   xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How long the first start of the whole system may take to spread from its seeds.
+/// How long a process waits for an update from the seeds when the whole system starts for the first
+/// time.
 const FIRST_START: Duration = Duration::from_secs(5);
 
 impl Spread {
-  /// Whether this process is to read from the platform: the first few balancers, those with the widest
-  /// links and then by a hash that all share, and each one that nobody's fresh word reaches. The reader
-  /// tells all others: over a link of 10 Mbit/s its callers' packets waited behind that.
+  /// Whether this process is to read the platform. The readers are the live balancers with the
+  /// lowest rank; any other balancer reads too once its catalog has not been confirmed for the
+  /// takeover time. A reader pushes to all others, hence the widest links rank first.
   pub fn is_reader(&self, now: Instant) -> bool {
     if !self.balancer || self.stopping {
       return false;
     }
-    if self.confirmed.is_none() && now < self.hears_until {
+    if self.confirmed.is_none() && now < self.read_after {
       return false;
     }
     let own = rank(self.address, self.link);
@@ -34,14 +35,15 @@
     if before < self.tuning.readers {
       return true;
     }
-    let patience = self.tuning.takeover + Duration::from_millis(100) * before as u32;
-    self.confirmed(now).is_none_or(|age| age >= patience)
+    let takeover_after = self.tuning.takeover + Duration::from_millis(100) * before as u32;
+    self.confirmed(now).is_none_or(|age| age >= takeover_after)
   }
 }
 
-/// How long a process waits for a peer's word before it reads itself. Where the whole system starts for
-/// the first time nobody is served yet, and its seeds read for all: 304 balancers made 2,700 calls.
-pub(super) fn hears(settings: &Settings) -> Duration {
+/// How long a process waits for an update from a peer before it reads the platform. On the first
+/// start of the whole system no callers are served yet, and the seeds read for all, so that the
+/// platform is not overloaded.
+pub(super) fn read_delay(settings: &Settings) -> Duration {
   let seed = settings.seeds.is_empty() || settings.seeds.contains(&settings.peers);
   if settings.first_start && !seed {
     FIRST_START
@@ -50,7 +52,7 @@
   }
 }
 
-/// The place of a balancer among those that may read; the least reads.
+/// The rank of a balancer as a reader; the lowest ranks read.
 fn rank(address: SocketAddrV4, link: u8) -> (Reverse<u8>, u64) {
   (Reverse(link), xxh3_64(&address.ip().octets()))
 }
--- a/src/datagram/spread/telling.rs
+++ b/src/datagram/spread/telling.rs
@@ -1,4 +1,4 @@
-//! What a process tells others of itself and of the platform.
+//! Statuses and updates that are sent to other processes.
 
 use {
   super::{Agents, Spread},
@@ -16,21 +16,23 @@
   },
 };
 
-/// How many balancers a status names.
-const NAMED_MAX: usize = 4;
+/// The most balancers that a status names.
+const BALANCERS_MAX: usize = 4;
 
-/// How often one that is not heard of is told.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+/// How often an unresponsive balancer is sent a status.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an agent tells a balancer of another data centre of itself after that one has spoken: longer
-/// than the pauses between its words.
-const TALKS: Duration = Duration::from_secs(3);
+/// How long an agent keeps sending statuses to a balancer of another data centre that it has heard
+/// from; longer than that balancer's status interval.
+const REPLY_FOR: Duration = Duration::from_secs(3);
 
-/// How long a balancer that has not said where it stands is told again: its word may be lost.
-const INTRODUCED: Duration = Duration::from_secs(3);
+/// How long a balancer whose data centre is unknown is sent statuses; its own status may have been
+/// lost.
+const INTRODUCE_FOR: Duration = Duration::from_secs(3);
 
 impl Spread {
-  /// Tells of this process where that is due; `role` is what it is, `agents` further receivers.
+  /// Sends the statuses that are due: to the balancers and to `agents`. `role` describes this
+  /// process.
   pub fn tick(&mut self, now: Instant, role: Role, agents: &Agents, out: &mut Outbox) {
     if now < self.next {
       return;
@@ -40,18 +42,19 @@
     for agent in &agents.near {
       out.frame(*agent, &frame, &[]);
     }
-    if now < self.far_agents {
+    if now < self.next_remote_agents {
       return;
     }
-    self.far_agents = now + self.tuning.far_agent;
+    self.next_remote_agents = now + self.tuning.far_agent;
     let links = self.links();
     for agent in agents.far.iter().filter(|agent| links.has(**agent)) {
       out.frame(*agent, &frame, &[]);
     }
   }
 
-  /// Tells balancers of this process now: those near at each call, the others less often, and where they
-  /// are many only those that it keeps in touch with. The reader's word is for all.
+  /// Sends a status to the balancers now: to those of this data centre at each call, to others less
+  /// often. Unless the overlay is a full mesh, only its members in other data centres are sent one;
+  /// a reader sends one to all.
   pub fn tell_now(&mut self, now: Instant, role: Role, out: &mut Outbox) {
     self.next = now + self.tuning.status;
     let frame = Frame::Status(self.own_status(now, role));
@@ -61,44 +64,44 @@
     let balancer = self.balancer;
     for (address, peer) in &mut self.peers {
       let since = |at: Instant| now.saturating_duration_since(at);
-      let quiet = peer.heard.is_none_or(|heard| since(heard) >= tuning.silent);
+      let unresponsive = peer.heard.is_none_or(|heard| since(heard) >= tuning.silent);
       let near = peer.data_centre == Some(self.data_centre);
-      let pause = match (quiet, near) {
-        (true, _) => TOLD_EVERY,
+      let interval = match (unresponsive, near) {
+        (true, _) => RETRY_INTERVAL,
         (false, true) => Duration::ZERO,
         (false, false) => tuning.far,
       };
-      let told = peer.told.is_some_and(|told| since(told) < pause);
-      if !peer.balancer || told {
+      let sent = peer.last_sent.is_some_and(|at| since(at) < interval);
+      if !peer.balancer || sent {
         continue;
       }
-      let recent = peer.heard.is_some_and(|heard| since(heard) < TALKS);
+      let recent = peer.heard.is_some_and(|heard| since(heard) < REPLY_FOR);
       let linked = if balancer {
         links.has(*address)
       } else {
         recent
       };
-      let unknown = peer.data_centre.is_none() && since(peer.since) < INTRODUCED;
-      if !all && !near && !linked && !unknown && peer.told.is_some() {
+      let unknown = peer.data_centre.is_none() && since(peer.since) < INTRODUCE_FOR;
+      if !all && !near && !linked && !unknown && peer.last_sent.is_some() {
         continue;
       }
-      peer.told = Some(now);
+      peer.last_sent = Some(now);
       out.frame(*address, &frame, &[]);
     }
   }
 
-  /// Tells one process of this one now.
+  /// Sends a status to one process.
   pub fn greet(&self, now: Instant, role: Role, to: SocketAddrV4, out: &mut Outbox) {
     out.frame(to, &Frame::Status(self.own_status(now, role)), &[]);
   }
 
   fn own_status(&self, now: Instant, role: Role) -> Status {
     let mut balancers = self.balancers(now);
-    // Each status names others, so that after a few all are named.
+    // Rotates the balancers, so that all are named after a few statuses.
     let turn = now.saturating_duration_since(self.started).as_millis() / 100;
     let first = turn as usize % balancers.len().max(1);
     balancers.rotate_left(first);
-    balancers.truncate(NAMED_MAX);
+    balancers.truncate(BALANCERS_MAX);
     Status {
       balancers,
       complete: self.catalog.complete(),
@@ -111,27 +114,27 @@
     }
   }
 
-  /// Sends what came after a revision to all peers; where it is too large, a status tells them to
-  /// ask for it.
+  /// Pushes the records after a revision to all peers. An update that is too large for a frame is
+  /// announced by a status, after which they pull it.
   pub(super) fn push(&mut self, now: Instant, after: Revision, out: &mut Outbox) {
-    let news = Frame::News(self.catalog.since(after));
-    let mut size = Vec::new();
-    news.encode(&mut size);
-    let frame = if size.len() <= NEWS_MAX {
-      news
+    let update = Frame::News(self.catalog.since(after));
+    let mut encoded = Vec::new();
+    update.encode(&mut encoded);
+    let frame = if encoded.len() <= NEWS_MAX {
+      update
     } else {
       Frame::Status(self.own_status(now, Role::Balancer))
     };
-    let mut told = self.peers.keys().copied().collect::<BTreeSet<_>>();
+    let mut receivers = self.peers.keys().copied().collect::<BTreeSet<_>>();
     if !self.knows_all() {
-      told.extend(self.listed_agents());
+      receivers.extend(self.listed_agents());
     }
-    for address in told {
+    for address in receivers {
       out.frame(address, &frame, &[]);
     }
   }
 
-  /// The agents of all listed targets: those that do not keep in touch are told too.
+  /// The agents of all listed targets, including those outside the overlay.
   fn listed_agents(&self) -> impl Iterator<Item = SocketAddrV4> {
     let listed = self.catalog.entries();
     let listed = listed.filter(|(_, entry)| entry.gone.is_none());
