--- a/src/datagram/backends.rs
+++ b/src/datagram/backends.rs
@@ -10,7 +10,7 @@
   xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// What a service takes of the new flows to an address, against the others behind it.
+/// The share of new flows that a service gets, relative to the others on the same route.
 #[derive(
   Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -31,24 +31,25 @@
   }
 }
 
-/// One of the services behind an address.
+/// A service on a route.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
   /// The service.
   pub service: Service,
-  /// What it takes of the new flows; nothing at 0.
+  /// Its share of new flows; none at 0.
   pub weight: Weight,
 }
 
-/// The services behind an address, each once, in the order of their names.
+/// The services on a route, each once, sorted by name.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "Vec<Backend>", into = "Vec<Backend>")]
 pub struct Backends(SmallVec<[Backend; 1]>);
 
 impl Backends {
-  /// Those that a flow may be opened at, the one that it belongs to first: weighted rendezvous. All
-  /// balancers agree without a word, and a change of weights moves no more flows than it has to.
+  /// The services at which a flow may be opened, in order of preference by weighted rendezvous
+  /// hashing. All balancers compute the same order without communication, and a change of weights
+  /// moves as few flows as possible.
   pub fn ranked(&self, flow: &Flow) -> SmallVec<[&Backend; 4]> {
     let mut ranked = self.taking().collect::<SmallVec<[&Backend; 4]>>();
     if ranked.len() > 1 {
@@ -58,29 +59,29 @@
     ranked
   }
 
-  /// All of them, those that take nothing too: they may have flows from before.
+  /// All services, including those of weight 0, which may have flows from before.
   pub fn services(&self) -> impl Iterator<Item = &Service> {
     self.0.iter().map(|backend| &backend.service)
   }
 
-  /// Those that new flows may go to.
+  /// The backends of a positive weight, which get new flows.
   pub fn taking(&self) -> impl Iterator<Item = &Backend> {
     self.0.iter().filter(|backend| backend.weight.0 > 0)
   }
 
-  /// Whether new flows may go to a service.
+  /// Whether a service gets new flows.
   pub fn takes(&self, service: &Service) -> bool {
     self.taking().any(|backend| backend.service == *service)
   }
 
-  /// Whether new flows may go to the service of a digest.
+  /// Whether the service with a digest gets new flows.
   pub fn takes_digest(&self, service: Digest) -> bool {
     self
       .taking()
       .any(|backend| backend.service.digest() == service)
   }
 
-  /// What a service takes.
+  /// The weight of a service; 0 if it isn't on the route.
   pub fn weight(&self, service: &Service) -> Weight {
     let mut backends = self.0.iter();
     let found = backends.find(|backend| backend.service == *service);
@@ -89,13 +90,14 @@
 }
 
 impl Backend {
-  /// The least score of all takes the flow: with a uniform number of each flow and service, each
-  /// service has the least one as often as its weight says.
+  /// The backend with the lowest score gets the flow. The scores are exponentially distributed with
+  /// the weight as rate, so each service has the lowest one in proportion to its weight.
   fn score(&self, flow: u64) -> f64 {
-    /// So many bits fill a number of 64 bits that counts in binary digits after the point.
-    const BITS: u32 = 53;
+    /// The bits of an `f64`'s mantissa.
+    const MANTISSA_BITS: u32 = 53;
     let hash = xxh3_64_with_seed(&flow.to_le_bytes(), self.service.digest().0);
-    let uniform = ((hash >> (u64::BITS - BITS)) + 1) as f64 / (1_u64 << BITS) as f64;
+    let uniform =
+      ((hash >> (u64::BITS - MANTISSA_BITS)) + 1) as f64 / (1_u64 << MANTISSA_BITS) as f64;
     -uniform.ln() / f64::from(self.weight.0)
   }
 }
@@ -114,13 +116,13 @@
 }
 
 impl From<Vec<Backend>> for Backends {
-  /// A service that is named twice takes both shares.
+  /// Merges repeated services; their weights add up.
   fn from(mut backends: Vec<Backend>) -> Self {
     backends.sort_by(|one, other| one.service.cmp(&other.service));
-    backends.dedup_by(|next, held| {
-      let same = next.service == held.service;
+    backends.dedup_by(|next, kept| {
+      let same = next.service == kept.service;
       if same {
-        held.weight.0 = held.weight.0.saturating_add(next.weight.0);
+        kept.weight.0 = kept.weight.0.saturating_add(next.weight.0);
       }
       same
     });
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -13,44 +13,44 @@
   },
 };
 
-/// How long a target that has left the list, and a service that an address led to, is remembered. Its
-/// flows may live for as long.
-const GONE_KEPT: Duration = Duration::from_secs(75);
+/// How long a tombstone or former backend is kept. Their flows may live for as long.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(75);
 
-/// A target, or what is remembered of it.
+/// A target, or the tombstone of one.
 #[derive(Clone, Debug)]
 pub struct Entry {
-  /// When it left the list, if it did.
+  /// When it was removed from the target list; none while it is listed.
   pub gone: Option<Instant>,
-  /// The revision of the last word of it.
+  /// The revision of the latest record of it.
   pub revision: Revision,
-  /// What the list says, or last said.
+  /// Its latest description, kept after its removal.
   pub target: Arc<Target>,
 }
 
-/// What a process knows of the platform: the configuration in force and the list of targets. It
-/// never goes back to an older record, whoever offers it.
+/// A process's replica of the configuration in force and the target list. A record never replaces a
+/// newer one, whoever sends it.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
   closures: Closures,
   complete: Revision,
-  /// The routes that changed since the first configuration that came here, those that were dropped too.
+  /// The latest change of each route since the first configuration received here, including removed
+  /// routes.
   changed: Changed,
   configuration: Option<(Revision, Arc<Configuration>)>,
   former: Former,
-  /// What left the list up to this revision may not be known here.
+  /// Removals up to this revision may not be known here.
   removals_from: Revision,
   targets: BTreeMap<target::Id, Entry>,
 }
 
-/// What news changed.
+/// What an update changed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Change {
-  /// Whether a data centre was closed, or opened again.
+  /// Whether a data centre was evacuated, or opened again.
   pub closures: bool,
-  /// Whether a configuration came into force.
+  /// Whether another configuration is in force.
   pub configuration: bool,
-  /// The targets whose entry changed.
+  /// The targets that were added, changed or removed.
   pub targets: Vec<target::Id>,
 }
 
@@ -62,22 +62,25 @@
 }
 
 impl Catalog {
-  /// Which data centres are closed to new flows.
+  /// The data centres that are closed to new flows.
   pub fn closures(&self) -> &Closures {
     &self.closures
   }
 
-  /// The revision up to which nothing is missing.
+  /// The revision up to which no record is missing.
   pub fn complete(&self) -> Revision {
     self.complete
   }
 
   /// The configuration in force.
   pub fn configuration(&self) -> Option<&Arc<Configuration>> {
-    self.configuration.as_ref().map(|(_, held)| held)
+    self
+      .configuration
+      .as_ref()
+      .map(|(_, configuration)| configuration)
   }
 
-  /// All targets, those that have left the list among them.
+  /// All targets, including tombstones.
   pub fn entries(&self) -> impl Iterator<Item = (&target::Id, &Entry)> {
     self.targets.iter()
   }
@@ -87,7 +90,7 @@
     self.targets.get(id)
   }
 
-  /// The newest run at an address that the list holds, else the newest that it held.
+  /// The latest listed target at an address, else its latest tombstone.
   pub fn at(&self, address: SocketAddrV4) -> Option<(&target::Id, &Entry)> {
     let here = self.targets.iter();
     here
@@ -95,12 +98,12 @@
       .max_by_key(|(_, entry)| (entry.gone.is_none(), entry.revision))
   }
 
-  /// Forgets targets that left long ago.
+  /// Drops expired tombstones and former backends.
   pub fn expire(&mut self, now: Instant) {
-    self.former.expire(now, GONE_KEPT);
+    self.former.expire(now, TOMBSTONE_TTL);
     let removals_from = &mut self.removals_from;
     self.targets.retain(|_, entry| {
-      let kept = |gone| now.saturating_duration_since(gone) < GONE_KEPT;
+      let kept = |gone| now.saturating_duration_since(gone) < TOMBSTONE_TTL;
       let kept = entry.gone.is_none_or(kept);
       if !kept {
         *removals_from = entry.revision.max(*removals_from);
@@ -109,17 +112,18 @@
     });
   }
 
-  /// Takes news; older records change nothing.
+  /// Applies an update and returns what it changed; records that are older than the known ones are
+  /// ignored.
   pub fn offer(&mut self, now: Instant, news: News) -> Change {
     let mut change = Change::default();
-    // A whole list from before what is known would drop targets that came since.
-    let whole = news.after.is_none() && news.to >= self.complete;
-    let listed = whole.then(|| Listed::of(&news));
+    // A snapshot that is older than the catalog would remove targets that were added since.
+    let snapshot = news.after.is_none() && news.to >= self.complete;
+    let listed = snapshot.then(|| Listed::of(&news));
     if self.complete == Revision::default() {
       self.removals_from = news.to;
     }
     for record in news.records {
-      self.take(now, record, &mut change);
+      self.apply(now, record, &mut change);
     }
     if let Some(listed) = listed {
       self.drop_unlisted(now, news.to, &listed, &mut change);
@@ -130,13 +134,13 @@
     change
   }
 
-  /// What is behind an address, as far as known.
+  /// The route of an address; none if the configuration has no such route.
   pub fn route(&self, address: &SocketAddrV4) -> Option<&Route> {
     self.configuration()?.routes.get(address)
   }
 
-  /// The services that may have flows to an address: all that it leads to, and all that it is known
-  /// to have led to in the lifetime of the flows. None where it leads nowhere now.
+  /// The services that may own flows to an address: all that it is routed to, and those that it was
+  /// routed to within a flow's lifetime. Empty if the address has no route.
   pub fn services(&self, address: &SocketAddrV4) -> SmallVec<[Service; 2]> {
     let Some(route) = self.route(address) else {
       return SmallVec::new();
@@ -150,28 +154,29 @@
     services
   }
 
-  /// The services that addresses led to before, besides those of now.
+  /// The services that addresses were routed to before.
   pub fn former(&self) -> &Former {
     &self.former
   }
 
-  /// An address led to a service until some time ago, by a peer's word; true where that was not known.
+  /// Imports a peer's record that an address was routed to a service until `at`; true if that was
+  /// not known.
   pub fn remember(&mut self, at: Instant, address: SocketAddrV4, service: &Service) -> bool {
     let known = self.services(&address).contains(service);
     if !known {
-      self.former.learn(address, service, at);
+      self.former.record(address, service, at);
     }
     !known
   }
 
-  /// What came after a revision; the whole where removals since then may not be known here.
+  /// The update after a revision; a snapshot where removals since then may be unknown here.
   pub fn since(&self, after: Revision) -> News {
-    let whole = after < self.removals_from;
-    let oldest = if whole { Revision::default() } else { after };
+    let snapshot = after < self.removals_from;
+    let oldest = if snapshot { Revision::default() } else { after };
     let configuration = self.configuration.iter();
     let configuration = configuration.filter(|(revision, _)| *revision > oldest);
     let configuration =
-      configuration.map(|(revision, held)| self.changed.record(held, oldest, *revision));
+      configuration.map(|(revision, current)| self.changed.record(current, oldest, *revision));
     let closures = self.closures.since(oldest);
     let targets = self.targets.iter();
     let targets = targets.filter(|(_, entry)| entry.revision > oldest);
@@ -181,32 +186,32 @@
       target: entry.gone.is_none().then(|| entry.target.as_ref().clone()),
     });
     News {
-      after: (!whole).then_some(after),
+      after: (!snapshot).then_some(after),
       records: closures.chain(configuration).chain(targets).collect(),
       to: self.complete,
     }
   }
 
-  /// What cold targets of a service may be given; none where nothing is stated.
+  /// The warm-up of a service's targets; none if not configured.
   pub fn warmup(&self, service: &Service) -> Option<Warmup> {
     self.configuration()?.warmups.get(service).copied()
   }
 
-  /// The version in force.
+  /// The version of the configuration in force; 0 if there is none.
   pub fn version(&self) -> super::Version {
     self
       .configuration()
-      .map(|held| held.version)
+      .map(|configuration| configuration.version)
       .unwrap_or_default()
   }
 
-  fn take(&mut self, now: Instant, record: Record, change: &mut Change) {
+  fn apply(&mut self, now: Instant, record: Record, change: &mut Change) {
     match record {
       Record::Closure {
         closed,
         data_centre,
         revision,
-      } => change.closures |= self.closures.take(data_centre, closed, revision),
+      } => change.closures |= self.closures.apply(data_centre, closed, revision),
       Record::Configuration {
         configuration,
         revision,
@@ -219,8 +224,8 @@
         revision,
       } => {
         let known = self.configuration.as_ref();
-        if let Some((held, before)) = known.filter(|_| after <= self.complete)
-          && *held < revision
+        if let Some((current, before)) = known.filter(|_| after <= self.complete)
+          && *current < revision
         {
           let configuration = amendment.amend(before);
           change.configuration |= self.configure(now, configuration, revision);
@@ -230,14 +235,14 @@
         id,
         revision,
         target,
-      } => self.take_target(now, id, revision, target, change),
+      } => self.apply_target(now, id, revision, target, change),
     }
   }
 
-  /// Takes a configuration; true where it is newer than the one in force.
+  /// Puts a configuration into force; true if it is newer than the one before.
   fn configure(&mut self, now: Instant, configuration: Configuration, revision: Revision) -> bool {
     match &self.configuration {
-      Some((held, before)) if *held >= revision || before.version >= configuration.version => {
+      Some((current, before)) if *current >= revision || before.version >= configuration.version => {
         return false;
       }
       Some((_, before)) => {
@@ -250,7 +255,7 @@
     true
   }
 
-  fn take_target(
+  fn apply_target(
     &mut self,
     now: Instant,
     id: target::Id,
@@ -262,10 +267,10 @@
     if known.is_some_and(|entry| entry.revision >= revision) {
       return;
     }
-    // A word of a run before, which was written late.
+    // A late record of an earlier incarnation.
     let born = target.as_ref().and_then(|target| target.born);
-    if let (Some(born), Some(held)) = (born, known.and_then(|entry| entry.target.born))
-      && born < held
+    if let (Some(born), Some(latest)) = (born, known.and_then(|entry| entry.target.born))
+      && born < latest
     {
       return;
     }
@@ -286,7 +291,7 @@
     change.targets.push(id);
   }
 
-  /// What a whole list no longer names has left it.
+  /// Removes the targets and reopens the data centres that a snapshot doesn't list.
   fn drop_unlisted(&mut self, now: Instant, to: Revision, listed: &Listed, change: &mut Change) {
     change.closures |= self.closures.drop_unlisted(to, &listed.closed);
     for (id, entry) in &mut self.targets {
@@ -299,7 +304,7 @@
   }
 }
 
-/// What a whole list names.
+/// The targets and data centres that a snapshot lists.
 #[derive(Default)]
 struct Listed {
   closed: BTreeSet<String>,
--- a/src/datagram/changed.rs
+++ b/src/datagram/changed.rs
@@ -7,39 +7,46 @@
   },
 };
 
-/// How many routes are remembered by when they changed; where more did, configurations are told whole.
-const KEPT_MAX: usize = 8192;
+/// The most routes whose latest change is remembered. With more, all are dropped and configurations
+/// are sent whole.
+const ROUTES_MAX: usize = 8192;
 
-/// When routes changed, so that a change of a few among thousands is told by those few. The whole of
-/// 1,600 routes is 60 KB for each process; over a link of 10 Mbit/s, 90 of them take five seconds.
+/// The revision of each route's latest change, so that a change of a few among thousands of routes
+/// is sent as a small difference: a configuration of 1,600 routes takes 60 KB per receiver.
 #[derive(Clone, Debug, Default)]
 pub struct Changed {
-  /// What changed up to this revision may not be known here.
+  /// Changes up to this revision may not be known here.
   from: Revision,
   routes: BTreeMap<SocketAddrV4, Revision>,
 }
 
 impl Changed {
-  /// The first configuration came, as of a revision.
+  /// Starts with the first configuration, as of a revision.
   pub fn begin(&mut self, revision: Revision) {
     self.from = revision;
   }
 
-  /// The configuration for who knows all up to a revision.
-  pub fn record(&self, held: &Configuration, after: Revision, revision: Revision) -> Record {
+  /// The record of a configuration for a receiver that is complete up to `after`: a difference if
+  /// possible.
+  pub fn record(
+    &self,
+    configuration: &Configuration,
+    after: Revision,
+    revision: Revision,
+  ) -> Record {
     if after < self.from {
       return Record::Configuration {
-        configuration: held.clone(),
+        configuration: configuration.clone(),
         revision,
       };
     }
     let changed = self.routes.iter().filter(|(_, at)| **at > after);
-    let routes = changed.map(|(address, _)| (*address, held.routes.get(address).cloned()));
+    let routes = changed.map(|(address, _)| (*address, configuration.routes.get(address).cloned()));
     let amendment = Amendment {
-      idle: held.idle,
+      idle: configuration.idle,
       routes: routes.collect(),
-      version: held.version,
-      warmups: held.warmups.clone(),
+      version: configuration.version,
+      warmups: configuration.warmups.clone(),
     };
     Record::Amendment {
       amendment,
@@ -48,7 +55,7 @@
     }
   }
 
-  /// A configuration takes the place of another, as of a revision.
+  /// Records the routes in which two configurations differ, as of a revision.
   pub fn replace(&mut self, before: &Configuration, next: &Configuration, revision: Revision) {
     let addresses = before.routes.keys().chain(next.routes.keys());
     for address in addresses.collect::<BTreeSet<_>>() {
@@ -56,7 +63,7 @@
         self.routes.insert(*address, revision);
       }
     }
-    if self.routes.len() > KEPT_MAX {
+    if self.routes.len() > ROUTES_MAX {
       self.routes.clear();
       self.from = revision;
     }
--- a/src/datagram/closures.rs
+++ b/src/datagram/closures.rs
@@ -4,11 +4,12 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Which data centres are closed to new flows. A word that is older than the last one of a data
-/// centre changes nothing, whoever offers it.
+/// The data centres that are closed to new flows. A record that is older than the known one of its
+/// data centre is ignored, whoever sends it.
 #[derive(Clone, Debug, Default)]
 pub struct Closures {
-  /// Those that were ever closed: an old word of one that is open again must not close it.
+  /// The latest record of each data centre that was ever closed; kept after it reopens, so that an
+  /// older record can't close it again.
   closures: BTreeMap<String, Closure>,
 }
 
@@ -19,15 +20,15 @@
 }
 
 impl Closures {
-  /// The names of those that are closed.
+  /// The names of the closed data centres.
   pub fn closed(&self) -> impl Iterator<Item = &str> {
     let closed = self.closures.iter();
     let closed = closed.filter(|(_, closure)| closure.closed);
     closed.map(|(data_centre, _)| data_centre.as_str())
   }
 
-  /// Opens those that are closed and that a whole list, as of a revision, does not name; true where
-  /// there was one.
+  /// Reopens the closed data centres that a snapshot as of revision `to` doesn't list; true if
+  /// there was any.
   pub fn drop_unlisted(&mut self, to: Revision, listed: &BTreeSet<String>) -> bool {
     let mut dropped = false;
     for (data_centre, closure) in &mut self.closures {
@@ -48,13 +49,14 @@
     closure.is_some_and(|closure| closure.closed)
   }
 
-  /// The revision at which a data centre was opened again; none where it is closed, or never was.
+  /// The revision at which a data centre was opened again; none while it is closed, or if it never
+  /// was.
   pub fn opened(&self, data_centre: &str) -> Option<Revision> {
     let closure = self.closures.get(data_centre)?;
     (!closure.closed).then_some(closure.revision)
   }
 
-  /// The words that came after a revision.
+  /// The records after a revision.
   pub fn since(&self, after: Revision) -> impl Iterator<Item = Record> {
     let closures = self.closures.iter();
     let newer = closures.filter(move |(_, closure)| closure.revision > after);
@@ -65,9 +67,9 @@
     })
   }
 
-  /// Takes a word; true where it is newer than what was known. One that is open both before and after
-  /// may have been closed between.
-  pub fn take(&mut self, data_centre: String, closed: bool, revision: Revision) -> bool {
+  /// Applies a record; true if it is newer than the known one. A data centre that is open both
+  /// before and after may have been closed in between.
+  pub fn apply(&mut self, data_centre: String, closed: bool, revision: Revision) -> bool {
     let known = self.closures.get(&data_centre);
     if known.is_some_and(|known| known.revision >= revision) {
       return false;
--- a/src/datagram/configuration.rs
+++ b/src/datagram/configuration.rs
@@ -10,7 +10,7 @@
   },
 };
 
-/// The operator's count of configurations, which rises in uneven steps.
+/// The version of a configuration, set by the operator; rises, not always by one.
 #[derive(
   Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -31,28 +31,28 @@
   }
 }
 
-/// What the operator says of the flows to one address.
+/// How the flows to one address are handled.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-  /// The services that new flows go to.
+  /// The services on the route, with their weights.
   pub backends: Backends,
   /// The time within which a request on it is to be answered.
   pub objective: Duration,
-  /// What goes first when not all can be served; 0 is the highest.
+  /// The precedence under overload; 0 is the highest.
   pub priority: u8,
 }
 
-/// What the operator wants: where the flows to each address go.
+/// The operator's configuration: which services the flows to each address are routed to.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-  /// After how much rest a flow may be forgotten.
+  /// The idle timeout of flows.
   pub idle: Duration,
-  /// What is behind each address that callers reach.
+  /// The route of each address that callers reach.
   pub routes: BTreeMap<SocketAddrV4, Route>,
-  /// The operator's count.
+  /// Its version.
   pub version: Version,
-  /// What cold targets of a service may be given, where that is stated.
+  /// The warm-up of each service's targets, where configured.
   pub warmups: BTreeMap<Service, Warmup>,
 }
--- a/src/datagram/former.rs
+++ b/src/datagram/former.rs
@@ -7,61 +7,68 @@
   },
 };
 
-/// A service that an address led to.
+/// A service that an address was routed to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct Left {
+struct Removed {
   at: Instant,
   service: Service,
 }
 
-/// Which services addresses led to in the lifetime of the flows, besides those that they lead to now.
-/// A flow belongs to the service that took it, whatever its address leads to by now.
+/// The services that addresses were routed to within a flow's lifetime, besides their present ones.
+/// A flow stays with the service that accepted it after its address is routed to another.
 #[derive(Clone, Debug, Default)]
 pub struct Former {
-  by_address: BTreeMap<SocketAddrV4, Vec<Left>>,
+  by_address: BTreeMap<SocketAddrV4, Vec<Removed>>,
 }
 
 impl Former {
-  /// All of them: the address, the service, and when it last led there.
+  /// All former backends: the address, the service, and when the address was last routed to it.
   pub fn all(&self) -> impl Iterator<Item = (SocketAddrV4, &Service, Instant)> {
     let addresses = self.by_address.iter();
-    addresses.flat_map(|(address, left)| left.iter().map(|left| (*address, &left.service, left.at)))
+    addresses.flat_map(|(address, removed)| {
+      removed
+        .iter()
+        .map(|removed| (*address, &removed.service, removed.at))
+    })
   }
 
-  /// Forgets what was left longer ago than flows live.
+  /// Drops the backends that were removed longer than `life` ago.
   pub fn expire(&mut self, now: Instant, life: Duration) {
-    self.by_address.retain(|_, left| {
-      left.retain(|left| now.saturating_duration_since(left.at) < life);
-      !left.is_empty()
+    self.by_address.retain(|_, removed| {
+      removed.retain(|removed| now.saturating_duration_since(removed.at) < life);
+      !removed.is_empty()
     });
   }
 
-  /// An address led to a service, at last at `at`.
-  pub fn learn(&mut self, address: SocketAddrV4, service: &Service, at: Instant) {
-    let left = self.by_address.entry(address).or_default();
-    match left.iter_mut().find(|left| left.service == *service) {
+  /// Records that an address was routed to a service until `at`.
+  pub fn record(&mut self, address: SocketAddrV4, service: &Service, at: Instant) {
+    let removed = self.by_address.entry(address).or_default();
+    match removed
+      .iter_mut()
+      .find(|removed| removed.service == *service)
+    {
       Some(known) => known.at = known.at.max(at),
-      None => left.push(Left {
+      None => removed.push(Removed {
         at,
         service: service.clone(),
       }),
     }
   }
 
-  /// Those that an address led to.
+  /// The former backends of an address.
   pub fn of(&self, address: &SocketAddrV4) -> impl Iterator<Item = &Service> {
-    let left = self.by_address.get(address).into_iter().flatten();
-    left.map(|left| &left.service)
+    let removed = self.by_address.get(address).into_iter().flatten();
+    removed.map(|removed| &removed.service)
   }
 
-  /// A configuration took the place of another.
+  /// Records the backends that are in `before` and no longer in `after`.
   pub fn replace(&mut self, now: Instant, before: &Configuration, after: &Configuration) {
     for (address, route) in &before.routes {
       let next = after.routes.get(address);
       for service in route.backends.services() {
-        let stays = next.is_some_and(|next| next.backends.services().any(|held| held == service));
-        if !stays {
-          self.learn(*address, service, now);
+        let kept = next.is_some_and(|next| next.backends.services().any(|other| other == service));
+        if !kept {
+          self.record(*address, service, now);
         }
       }
     }
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -5,21 +5,21 @@
   std::{collections::BTreeMap, net::SocketAddrV4, time::Duration},
 };
 
-/// What makes one configuration of an earlier one.
+/// The difference between two configurations.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Amendment {
-  /// After how much rest a flow may be forgotten.
+  /// The idle timeout of flows.
   pub idle: Duration,
-  /// The routes that changed; none where one was dropped.
+  /// The routes that changed; none for a removed one.
   pub routes: Vec<(SocketAddrV4, Option<Route>)>,
-  /// The operator's count.
+  /// The version of the new configuration.
   pub version: Version,
-  /// What cold targets of a service may be given, where that is stated.
+  /// All warm-ups of the new configuration, by service.
   pub warmups: BTreeMap<Service, Warmup>,
 }
 
 impl Amendment {
-  /// The configuration that it makes of another.
+  /// The configuration that results from `before`.
   pub fn amend(self, before: &Configuration) -> Configuration {
     let mut routes = before.routes.clone();
     for (address, route) in self.routes {
@@ -37,12 +37,12 @@
   }
 }
 
-/// One fact of the platform at a revision.
+/// One item of the platform's data, as of a revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Record {
-  /// Whether a data centre is closed to new flows.
+  /// An operator's order that closes a data centre to new flows, or opens it again.
   Closure {
-    /// Whether it is.
+    /// Whether it is closed.
     closed: bool,
     /// Its name.
     data_centre: String,
@@ -56,22 +56,23 @@
     /// The platform's revision.
     revision: Revision,
   },
-  /// The configuration in force, for who knows the one of a revision, or a later one.
+  /// The configuration in force, as a difference for receivers that are complete up to `after` or
+  /// later.
   Amendment {
-    /// What changed.
+    /// The difference.
     amendment: Amendment,
-    /// The revision that all changes came after.
+    /// The revision after which all the differences were made.
     after: Revision,
     /// The platform's revision.
     revision: Revision,
   },
-  /// A run of an upstream; none once it has left the list.
+  /// A target.
   Target {
     /// Its name.
     id: target::Id,
     /// The platform's revision.
     revision: Revision,
-    /// What the list says of it.
+    /// Its description; none once it is removed from the target list.
     target: Option<Target>,
   },
 }
@@ -88,13 +89,13 @@
   }
 }
 
-/// Records that make what was complete up to one revision complete up to another.
+/// The records between two revisions of the platform's data, or a snapshot of all.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct News {
-  /// What it builds on; none where it is the whole.
+  /// The revision up to which the receiver must be complete; none for a snapshot.
   pub after: Option<Revision>,
   /// The records.
   pub records: Vec<Record>,
-  /// What it is complete up to.
+  /// The revision up to which the receiver is complete afterwards.
   pub to: Revision,
 }
--- a/src/datagram/target.rs
+++ b/src/datagram/target.rs
@@ -13,7 +13,7 @@
   },
 };
 
-/// The platform's name of an upstream; a later run may have it again.
+/// The platform's name of an upstream; a later incarnation may have the same one.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(from = "String", into = "String")]
 pub struct Id(Arc<str>);
@@ -44,8 +44,8 @@
   }
 }
 
-/// When an upstream started, in milliseconds of Unix time by its own clock: a count that is higher at
-/// each start under one name.
+/// The start time of one incarnation of an upstream, in milliseconds of Unix time by the upstream's
+/// own clock. Among incarnations under one name it rises with each start.
 #[derive(
   Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -66,22 +66,23 @@
   }
 }
 
-/// One run of an upstream, as the platform lists it. The list lags behind reality.
+/// One incarnation of an upstream, as the platform lists it, with some delay.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-  /// Where the upstream takes packets from its own instance.
+  /// The address at which the upstream receives packets from its own instance.
   pub address: SocketAddrV4,
-  /// When it started, where the platform says so.
+  /// Its start time; none if the platform doesn't give it.
   pub born: Option<Born>,
-  /// The data centre that it stands in.
+  /// The data centre that it is in.
   pub data_centre: String,
-  /// Whether it is live or leaving.
+  /// Whether it is live, or draining (leaving): a draining target is given no new flows and keeps
+  /// its old ones.
   pub presence: Presence,
-  /// The service that it serves.
+  /// The service that it belongs to.
   pub service: Service,
-  /// How many requests it works on at once.
+  /// How many requests it processes at once.
   pub slots: u16,
-  /// How much longer it was cold when the platform wrote this.
+  /// What was left of its warm-up when the platform wrote this record.
   pub warmup_left: Duration,
 }
--- a/src/datagram/warmup.rs
+++ b/src/datagram/warmup.rs
@@ -3,12 +3,12 @@
   std::time::Duration,
 };
 
-/// What the operator states of a service's targets that have just started.
+/// The warm-up (slow start) of a service's targets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Warmup {
-  /// How long a target is cold.
+  /// How long a target warms up after its start.
   pub lasts: Duration,
-  /// How many new flows a cold target may be given in any second.
+  /// How many new flows a target may be given per second during its warm-up.
   pub per_second: u16,
 }
