--- a/src/datagram/bundle.rs
+++ b/src/datagram/bundle.rs
@@ -4,35 +4,36 @@
   std::net::SocketAddrV4,
 };
 
-/// The first byte of a bundle; a frame begins with another one.
-const BUNDLE: u8 = 0xb1;
+/// The first byte of a bundle, which tells it from a frame.
+const BUNDLE_MARK: u8 = 0xb1;
 
-/// The largest bundle, in bytes: it fits a common datagram.
+/// The largest bundle, in bytes: it fits in a datagram of 1,500 bytes.
 const SIZE_MAX: usize = 1200;
 
-/// What a frame in a bundle takes besides its own bytes, at most.
-const HEAD: usize = 2;
+/// The most bytes that a frame takes in a bundle besides its own: its length.
+const LENGTH_MAX: usize = 2;
 
-/// Frames to one process that leave at the same time, as one datagram: each datagram costs its
-/// sender and its receiver more than its bytes do.
+/// Packs the frames that are sent to one process at the same time into one datagram, since a
+/// datagram costs sender and receiver more than its bytes.
 #[derive(Debug, Default)]
 pub struct Bundler {
   bytes: Vec<u8>,
 }
 
 impl Bundler {
-  /// Hands all frames in `out` to `send`, as few datagrams; those to one process stay in order.
+  /// Passes all frames in `out` to `send`, in as few datagrams as possible; frames to the same
+  /// process keep their order.
   pub fn send(&mut self, out: &Outbox, mut send: impl FnMut(SocketAddrV4, &[u8])) {
     let frames = out.datagrams().iter();
     let frames = frames.filter(|datagram| datagram.via == Via::Peers);
     let mut frames = frames.collect::<Vec<_>>();
     frames.sort_by_key(|frame| frame.to);
     for run in frames.chunk_by(|one, next| one.to == next.to) {
-      self.send_run(out, run, &mut send);
+      self.send_to_one(out, run, &mut send);
     }
   }
 
-  fn send_run(
+  fn send_to_one(
     &mut self,
     out: &Outbox,
     mut run: &[&Datagram],
@@ -41,7 +42,7 @@
     while let Some(first) = run.first() {
       let mut size = 0;
       let fits = run.iter().take_while(|frame| {
-        size += HEAD + out.bytes(frame).len();
+        size += LENGTH_MAX + out.bytes(frame).len();
         size < SIZE_MAX
       });
       let (part, rest) = run.split_at(fits.count().max(1));
@@ -52,20 +53,21 @@
       }
       let frames = part.iter().map(|frame| out.bytes(frame));
       self.bytes.clear();
-      self.bytes.push(BUNDLE);
-      let room = std::mem::take(&mut self.bytes);
-      // Growing a vector cannot fail.
+      self.bytes.push(BUNDLE_MARK);
+      let buffer = std::mem::take(&mut self.bytes);
+      // Appending to a vector can't fail.
       self.bytes =
-        postcard::to_extend(&frames.collect::<Vec<_>>(), room).expect("bundle is written");
+        postcard::to_extend(&frames.collect::<Vec<_>>(), buffer).expect("bundle can be encoded");
       send(first.to, &self.bytes);
     }
   }
 }
 
-/// The frames in a datagram, of which there is one where it is no bundle.
+/// Splits a datagram into frames; one that isn't a bundle is a single frame. Fails if a bundle is
+/// malformed.
 pub fn frames(datagram: &[u8]) -> Result<Vec<&[u8]>, Code> {
   match datagram.split_first() {
-    Some((&BUNDLE, body)) => postcard::from_bytes(body).map_err(|_| Code::FrameTruncated),
+    Some((&BUNDLE_MARK, body)) => postcard::from_bytes(body).map_err(|_| Code::FrameTruncated),
     _ => Ok(vec![datagram]),
   }
 }
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -4,37 +4,40 @@
   std::time::Duration,
 };
 
-/// How the packets of the flows look. The system never changes what an upstream or a caller reads.
+/// Reads and writes the packets of flows. Payloads are never changed.
 pub trait Codec: Clone + Send + 'static {
-  /// How many copies of an opening packet a caller sends, each numbered (`Head::acknowledges`).
+  /// How often a caller sends an opening packet in all; each attempt is numbered
+  /// (`Head::acknowledges`).
   const COPIES: u32;
 
-  /// How long after the first copy a caller sends the second.
+  /// The time from a caller's first opening packet to its first retransmission. The interval
+  /// doubles with each attempt.
   const GAP: Duration;
 
-  /// How long after the first copy a caller gives the flow up.
+  /// The time from a caller's first opening packet until it gives up opening the flow.
   const PATIENCE: Duration;
 
-  /// How long after the first copy a caller sends another: each gap is twice the one before it.
-  fn age(copy: u32) -> Duration {
-    Self::GAP * ((1 << copy.min(Self::COPIES)) - 1)
+  /// The time from a caller's first opening packet to a later attempt, counted from 0.
+  fn age(attempt: u32) -> Duration {
+    Self::GAP * ((1 << attempt.min(Self::COPIES)) - 1)
   }
 
-  /// How long after the first copy a caller was heard of for certain, if it went on: until its last
-  /// copy and a gap more.
+  /// The time from a caller's first opening packet by which another attempt would have been
+  /// received if the caller still were trying: one interval after the last attempt.
   fn heard() -> Duration {
     Self::age(Self::COPIES - 1) + Self::GAP
   }
 
-  /// Reads a packet on its way to an upstream.
+  /// Parses a packet from a caller. Fails if it is malformed.
   fn read_from_caller(&self, packet: &[u8]) -> Result<Head, Code>;
 
-  /// Reads a packet that an upstream wrote, or sent back.
+  /// Parses a packet from an upstream, written or returned by it. Fails if it is malformed.
   fn read_from_upstream(&self, packet: &[u8]) -> Result<Head, Code>;
 
-  /// Makes a packet that an upstream sent back what its caller wrote.
+  /// Restores a packet that an upstream returned to what the caller sent.
   fn restore(&self, packet: &mut [u8]);
 
-  /// Writes the packet that breaks off a flow for its caller, who last acknowledged `acknowledges`.
+  /// Appends a packet that resets a flow for its caller, whose latest acknowledgement number is
+  /// `acknowledges`.
   fn write_reset(&self, flow: &Flow, acknowledges: u32, out: &mut Vec<u8>);
 }
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -4,7 +4,7 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// Where news comes from.
+/// Where an update comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Origin {
   /// Another process.
@@ -13,35 +13,36 @@
   Platform,
 }
 
-/// What a machine is told.
+/// An input of a machine.
 #[derive(Debug)]
 pub enum Event<'a> {
-  /// The process ends: nothing is taken after this, and what is sent now is its last word.
+  /// The process ends now: nothing is handled after this, and what is sent now is its final
+  /// message.
   End,
-  /// A frame came from another process.
+  /// A frame arrived from another process.
   Frame {
-    /// Who sent it.
+    /// The sender.
     from: SocketAddrV4,
-    /// The frame and what follows it.
+    /// The frame and the packet that follows it.
     bytes: &'a [u8],
   },
-  /// What was asked for has come, or was read or watched.
+  /// An update was read from the platform or pulled from a peer.
   News(Origin, News),
-  /// A packet came: a caller's at a balancer, the upstream's at an agent.
+  /// A packet arrived: a caller's at a balancer, the upstream's at an agent.
   Packet(&'a mut [u8]),
-  /// A peer could not be asked.
+  /// A peer could not be reached to pull an update.
   Unreachable(SocketAddrV4),
-  /// The process is to stop as planned.
+  /// The process starts a graceful shutdown.
   Stop,
-  /// A deadline that the machine gave may have passed.
+  /// The machine's deadline may have passed.
   Tick,
 }
 
-/// Decides; it has no clock, socket or thread.
+/// The logic of a process. It has no clock, socket or thread of its own.
 pub trait Machine {
-  /// Takes an event and puts what is to be sent into `out`. What cannot be taken is counted.
+  /// Handles an event and appends what is to be sent to `out`. Errors are counted.
   fn step(&mut self, now: Instant, event: Event, out: &mut Outbox) {
-    let taken = match event {
+    let handled = match event {
       Event::End => {
         self.end(now, out);
         Ok(())
@@ -65,24 +66,24 @@
         Ok(())
       }
     };
-    if let Err(code) = taken {
+    if let Err(code) = handled {
       self.counter().count(code);
     }
   }
 
-  /// Where it counts.
+  /// The counter of errors and other occurrences.
   fn counter(&self) -> &Counter;
 
-  /// When the machine wants to be told of the time next.
+  /// When the next `Event::Tick` is due.
   fn deadline(&self) -> Instant;
 
-  /// What it knows and remembers, for an operator.
+  /// The state as JSON, for operators.
   fn dump(&self, now: Instant) -> serde_json::Value;
 
-  /// The process ends, after it was told to stop.
+  /// Sends the final message, after `stop`.
   fn end(&mut self, now: Instant, out: &mut Outbox);
 
-  /// A frame came from another process.
+  /// A frame arrived from another process.
   fn frame(
     &mut self,
     now: Instant,
@@ -91,26 +92,26 @@
     out: &mut Outbox,
   ) -> Result<(), Code>;
 
-  /// Whether nothing is under way that the end of the process would interrupt.
+  /// Whether no request is in flight that the end of the process would interrupt.
   fn is_quiet(&self) -> bool;
 
-  /// News came.
+  /// Applies an update.
   fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox);
 
-  /// A packet came: a caller's at a balancer, the upstream's at an agent.
+  /// A packet arrived: a caller's at a balancer, the upstream's at an agent.
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code>;
 
-  /// Takes other seeds, as new settings name them.
+  /// Adds the seeds of reloaded settings.
   fn reseed(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
     self.spread().reseed(now, seeds);
   }
 
-  /// What it shares with the other role: the list, the peers and what is to be read.
+  /// The gossip state: the catalog, the peers and what is to be read.
   fn spread(&mut self) -> &mut Spread;
 
-  /// The process is to stop as planned.
+  /// The process starts a graceful shutdown.
   fn stop(&mut self, now: Instant, out: &mut Outbox);
 
-  /// A deadline may have passed.
+  /// Does what is due.
   fn tick(&mut self, now: Instant, out: &mut Outbox);
 }
--- a/src/datagram/flow.rs
+++ b/src/datagram/flow.rs
@@ -8,7 +8,7 @@
   xxhash_rust::xxh3::xxh3_64,
 };
 
-/// What names a flow of datagrams: both ends as its caller's packets give them.
+/// The identity of a flow: the addresses of both ends, as in its caller's packets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Flow {
   /// The caller's address and port.
@@ -18,7 +18,7 @@
 }
 
 impl Flow {
-  /// A hash of the flow that is the same in every process and version.
+  /// A hash of the flow that doesn't depend on the process or build.
   pub fn key(&self) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&self.caller.ip().octets());
@@ -35,7 +35,7 @@
   }
 }
 
-/// A text names no flow.
+/// The error of a text that isn't a flow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected `<caller>><route>`, such as `192.0.2.7:40001>198.51.100.1:443`")]
 pub struct FlowInvalid;
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -5,242 +5,246 @@
   std::net::SocketAddrV4,
 };
 
-/// The first byte of a frame: the version of the layout.
+/// The first byte of a frame, which tells the version of its layout.
 const VERSION: u8 = 0xd4;
 
-/// The largest frame that is sent with news in it, in bytes: it fits a common datagram.
+/// The largest update that is pushed as a frame, in bytes: it fits in a datagram of 1,500 bytes.
 pub const NEWS_MAX: usize = 1200;
 
-/// How many targets that left the list, and how many services, one frame names at most: it fits a
-/// common datagram.
+/// The most tombstones, and the most former backends, in one frame: it fits in a datagram of 1,500
+/// bytes.
 pub const PAST_MAX: usize = 24;
 
-/// How many agents one frame names at most that a packet of so many bytes is sent on to: both fit a common
-/// datagram.
+/// The most agents in one `FanOut` frame that is followed by a packet of `packet` bytes: both fit
+/// in a datagram of 1,500 bytes.
 pub fn fan_max(packet: usize) -> usize {
-  /// The room of a datagram, in bytes.
-  const ROOM: usize = 1400;
-  /// An agent and the service of its upstream, in bytes.
-  const EACH: usize = 18;
-  (ROOM.saturating_sub(packet) / EACH).max(1)
+  /// The size of the datagram, in bytes.
+  const DATAGRAM: usize = 1400;
+  /// The encoded size of an agent and its service, in bytes.
+  const AGENT: usize = 18;
+  (DATAGRAM.saturating_sub(packet) / AGENT).max(1)
 }
 
-/// How many flows a question names at most: it fits a common datagram.
+/// The most flows in one query: it fits in a datagram of 1,500 bytes.
 pub const ASKED_MAX: usize = 48;
 
-/// What a balancer asks of an agent with a caller's packet.
+/// What an agent is to do with a caller's packet from a balancer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Purpose {
-  /// The flow is known to be there.
+  /// Deliver the packet; the agent is known to own the flow.
   Deliver,
   /// Open the flow.
   Open,
-  /// Try with the packet whether the flow is there, and say so.
+  /// Test with the packet whether the upstream owns the flow, and report the result.
   Test,
 }
 
-/// What an agent knows of where else a flow may be.
+/// What an agent knows about the targets that may own a flow instead of it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Known {
-  /// The revision up to which the asker has to know the list besides what is named here.
+  /// The revision that the receiver's catalog has to reach before the targets in it, together with
+  /// those named here, are all that may own the flow.
   pub complete: Revision,
-  /// Targets of its service that left the list, by the addresses of their upstreams, and how long
-  /// ago, in milliseconds: the platform may have dropped them while they live. Those on the list
-  /// too that are newer than what the asker knows.
+  /// Targets of the agent's service that were removed from the target list, by the addresses of
+  /// their upstreams, and how long ago, in milliseconds: the platform may have removed them while
+  /// they are alive. Also listed targets that are newer than the receiver's catalog.
   pub past: Vec<(SocketAddrV4, u32)>,
 }
 
-/// A target that has left the list.
+/// A target that was removed from the target list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Gone {
-  /// Where its upstream takes packets.
+  /// The address of its upstream.
   pub address: SocketAddrV4,
-  /// How long ago it left, in milliseconds.
+  /// How long ago it was removed, in milliseconds.
   pub age_ms: u32,
-  /// The service that it served.
+  /// The service that it belonged to.
   pub service: Service,
 }
 
-/// A service that an address led to, and leads to no longer.
+/// A service that an address was routed to within a flow's lifetime.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Led {
-  /// The address that callers reach.
+  /// The address of the route.
   pub address: SocketAddrV4,
-  /// How long ago it last led there, in milliseconds.
+  /// How long ago the address was last routed to it, in milliseconds.
   pub age_ms: u32,
   /// The service.
   pub service: Service,
 }
 
-/// Why an agent did not have a flow opened.
+/// Why an agent refused to open a flow.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Refusal {
-  /// Too much waits at the upstream already.
+  /// Too many requests are queued at the upstream.
   Busy,
-  /// The upstream sent the packet back.
+  /// The upstream returned the opening packet.
   Full,
-  /// The upstream is leaving.
+  /// The upstream is draining.
   Leaving,
-  /// The agent is of another service.
+  /// The agent's upstream belongs to another service.
   Service,
-  /// The upstream breaks off what it is given.
+  /// The upstream resets the flows that it is given.
   Down,
   /// The upstream's data centre is closed to new flows.
   Closed,
-  /// The upstream is cold and was given all that it may be given now.
+  /// The upstream is warming up and has been given as many new flows as its warm-up allows for now.
   Cold,
 }
 
-/// What a process is.
+/// The role of a process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-  /// It stands beside an upstream.
+  /// An agent, which runs on the same instance as an upstream, with the upstream's load.
   Agent(Load),
-  /// It takes callers' packets.
+  /// A balancer, which receives callers' packets.
   Balancer,
 }
 
-/// What processes tell each other of themselves, regularly and with each change.
+/// The heartbeat that processes send each other regularly and on each change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
   /// The revision up to which its catalog is complete.
   pub complete: Revision,
-  /// How long ago the platform confirmed that, in milliseconds, as far as this process heard.
+  /// How long ago the platform confirmed the catalog, in milliseconds; none before the first
+  /// confirmation.
   pub confirmed_ms: Option<u32>,
-  /// Balancers that it hears of.
+  /// Some of the balancers that it has heard from within the peer timeout.
   pub balancers: Vec<SocketAddrV4>,
   /// A hash of the name of its data centre.
   pub data_centre: u32,
-  /// This run of the process.
+  /// A random number that tells this start of the process from others.
   pub incarnation: u32,
-  /// The order of magnitude of its link's rate; 0 where that is not known.
+  /// Base-2 logarithm of its link's rate in bytes per second; 0 if unknown.
   pub link: u8,
-  /// What it is.
+  /// Its role.
   pub role: Role,
-  /// Whether it is about to stop.
+  /// Whether it is stopping.
   pub stopping: bool,
 }
 
-/// What passes between the processes in datagrams. A packet may follow.
+/// A message between processes, sent in a datagram. A caller's packet may follow it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Frame {
-  /// The agent does not have the flows, for certain. Where a packet was sent to be delivered, it
-  /// follows, and is of the only flow.
+  /// The agent certainly doesn't own the flows. If a packet was to be delivered, it follows, and
+  /// belongs to the only flow.
   Absent {
     /// The flows.
     flows: Vec<Flow>,
-    /// Where else they may be.
+    /// Which other targets may own them.
     known: Known,
-    /// Whether they were open here for certain and the upstream has forgotten them: they are nowhere.
+    /// Whether the flows are lost: they were open at this agent, and its upstream has lost them.
     lost: bool,
   },
-  /// Which of these flows does the agent have?
+  /// Asks an agent which of these flows it owns.
   Ask {
-    /// The revision up to which the sender knows the list.
+    /// The revision up to which the sender's catalog is complete.
     complete: Revision,
-    /// The flows, each with what its caller last acknowledged.
+    /// The flows, each with the acknowledgement number of its caller's latest packet.
     flows: Vec<(Flow, u32)>,
-    /// The services that may have them.
+    /// The services that may own them.
     services: Vec<Digest>,
   },
-  /// A caller's packet, which follows.
+  /// Forwards a caller's packet, which follows.
   Carry {
-    /// The revision up to which the sender knows the list.
+    /// The revision up to which the sender's catalog is complete.
     complete: Revision,
-    /// What is asked.
+    /// What the agent is to do with it.
     purpose: Purpose,
     /// The service that the packet is meant for.
     service: Digest,
-    /// The configuration that the sender acts on.
+    /// The version of the configuration that the sender applies.
     version: Version,
   },
-  /// The agent has the flow.
+  /// The agent owns the flow.
   Found {
     /// The flow.
     flow: Flow,
     /// The service of the agent's upstream.
     service: Digest,
   },
-  /// Flows that a balancer knows to be at an agent, which has started again.
+  /// Flows that the balancer knows the agent to own, sent after the agent has restarted.
   Held {
     /// The flows.
     flows: Vec<Flow>,
   },
-  /// What changed on the platform.
+  /// An update of the catalog.
   News(News),
-  /// The upstream took the opening packet.
+  /// The upstream accepted the opening packet.
   Opened(Flow, Load),
-  /// The upstream did not take the opening packet, which follows.
+  /// The flow was not opened at this upstream; the opening packet follows.
   Refused(Flow, Refusal, Load),
-  /// What the sender is and knows.
+  /// The sender's heartbeat.
   Status(Status),
-  /// The agent cannot say whether it has the flows; a packet of each would tell.
+  /// The agent doesn't know whether it owns the flows; delivering a packet of each as a test would
+  /// tell.
   Unsure {
     /// The flows.
     flows: Vec<Flow>,
     /// The service of the agent's upstream.
     service: Digest,
   },
-  // The number of a variant is on the wire: what is new comes last.
-  /// New flows wait in the balancer for a target of the service.
+  // Variants are encoded by their position: new ones are appended.
+  /// Reports new flows that are queued in the balancer for a target of the service.
   Backlog {
-    /// How many; where none does, places that the agent keeps for the balancer are given back.
+    /// The number of queued flows; 0 releases the slots that the agent has granted to the balancer.
     flows: u16,
     /// The service.
     service: Digest,
   },
-  /// The agent keeps a place for one of the balancer's flows that wait.
+  /// The agent reserves a slot for one of the balancer's queued flows.
   Grant(Load),
-  /// Flows of an agent: from itself with its last word, and on to its next run.
+  /// The flow table of an agent that is stopping; sent by it to balancers, and by them to its next
+  /// incarnation.
   Handover {
     /// The flows.
     flows: Vec<Passed>,
-    /// Which part this is, from 0 on.
+    /// The number of this part, from 0.
     part: u16,
-    /// How many parts name all flows; 0 where there may be more than are named.
+    /// The number of parts of the whole table; 0 if the sender doesn't have all of it.
     parts: u16,
   },
-  /// Which targets have left the list, and which services addresses led to? A balancer that has just
-  /// started asks another.
+  /// A balancer that has started requests tombstones and former backends from a peer.
   AskPast,
-  /// Both, in answer to that.
+  /// Tombstones and former backends, in response.
   Past {
-    /// Whether the sender knows all that left in the lifetime of the flows.
+    /// Whether the sender knows all removals within a flow's lifetime.
     known: bool,
-    /// The services.
+    /// The former backends.
     led: Vec<Led>,
-    /// Which part this is, from 0 on.
+    /// The number of this part, from 0.
     part: u16,
-    /// How many parts name all that the sender knows of; there is one where it knows of none.
+    /// The number of parts; 1 even if the sender knows nothing.
     parts: u16,
-    /// The targets.
+    /// The tombstones.
     past: Vec<Gone>,
   },
-  /// A caller's packet, which follows, is to be tried at several agents: the receiver, which is one of
-  /// them, sends it on.
+  /// A test with a caller's packet, which follows, at several agents: the receiver, which is one of
+  /// them, forwards it to the others.
   Fan {
-    /// The agents, each with the service of its upstream.
+    /// The agents, each with its upstream's service.
     agents: Vec<(SocketAddrV4, Digest)>,
-    /// The revision up to which the sender knows the list.
+    /// The revision up to which the sender's catalog is complete.
     complete: Revision,
-    /// The configuration that the sender acts on.
+    /// The version of the configuration that the sender applies.
     version: Version,
   },
-  /// A caller's packet, which follows, is to be tried for a balancer.
+  /// A test with a caller's packet, which follows, on behalf of a balancer.
   Try {
-    /// Who is to be told.
+    /// The balancer that gets the result.
     balancer: SocketAddrV4,
-    /// The revision up to which it knows the list.
+    /// The revision up to which the balancer's catalog is complete.
     complete: Revision,
     /// The service that the packet is meant for.
     service: Digest,
-    /// The configuration that the balancer acts on.
+    /// The version of the configuration that the balancer applies.
     version: Version,
   },
 }
 
 impl Frame {
-  /// Reads a frame and returns it with the packet that follows.
+  /// Decodes a frame; returns it with the bytes that follow. Fails if it is truncated or has
+  /// another version.
   pub fn decode(bytes: &[u8]) -> Result<(Self, &[u8]), Code> {
     match bytes.split_first() {
       None => Err(Code::FrameTruncated),
@@ -252,8 +256,8 @@
   /// Appends the frame to `out`.
   pub fn encode(&self, out: &mut Vec<u8>) {
     out.push(VERSION);
-    let room = std::mem::take(out);
-    // Growing a vector cannot fail, and every type here can be written.
-    *out = postcard::to_extend(self, room).expect("frame is written");
+    let buffer = std::mem::take(out);
+    // Appending to a vector can't fail, and all types in a frame are serialisable.
+    *out = postcard::to_extend(self, buffer).expect("frame can be encoded");
   }
 }
--- a/src/datagram/handover.rs
+++ b/src/datagram/handover.rs
@@ -8,51 +8,51 @@
   },
 };
 
-/// How many flows one frame names: it fits a common datagram.
+/// The most flows in one frame: it fits in a datagram of 1,500 bytes.
 const FLOWS_MAX: usize = 56;
 
-/// The most parts that are collected: flows for all that a target may hold.
+/// The most parts that are accepted: enough for all flows of a target.
 const PARTS_MAX: u16 = 2048;
 
-/// How long after the first part the others may come: they leave together, and an older part is of
-/// an earlier run's list.
-const TOGETHER: Duration = Duration::from_secs(1);
+/// How long after one part the next may arrive. Parts are sent together, so a later one belongs to
+/// another incarnation.
+const PART_GAP_MAX: Duration = Duration::from_secs(1);
 
-/// How long a list counts as whole: an agent that stops as planned is started again within two
-/// seconds. Later a run between, whose list did not come here, may have had more flows.
-const WHOLE: Duration = Duration::from_secs(5);
+/// How long a handover counts as complete. An agent restarts gracefully within two seconds; later
+/// there may have been another incarnation in between, whose handover didn't arrive.
+const COMPLETE_FOR: Duration = Duration::from_secs(5);
 
-/// A flow of an agent that stops.
+/// One flow of an agent that is stopping.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Passed {
   /// The flow.
   pub flow: Flow,
-  /// Whether its caller has opened it; the next packet may do so else.
+  /// Whether the opening is complete; otherwise the caller's next packet may complete it.
   pub open: bool,
-  /// The sequence number of the upstream's answer to its opening packet, where that is known.
+  /// The sequence number of the upstream's answer to the opening packet, if known.
   pub sequence: Option<u32>,
 }
 
-/// The flows of an agent that stops, as it tells them to balancers with its last word, who tell
-/// them to its next run. It arrives in parts, of which some may be lost.
+/// The flow table of an agent that is stopping. It is sent to balancers, which forward it to the
+/// agent's next incarnation, in parts that may be lost.
 #[derive(Clone, Debug, Default)]
 pub struct Handover {
-  /// When the newest part came.
+  /// When the latest part arrived; none at the sender.
   at: Option<Instant>,
   parts: BTreeMap<u16, Vec<Passed>>,
   total: u16,
 }
 
 impl Handover {
-  /// All flows of an agent.
+  /// The handover of all flows of an agent.
   pub fn new(mut flows: Vec<Passed>) -> Self {
-    // In one order, so that a run can be played again.
+    // Sorted, so that a simulation is reproducible.
     flows.sort_unstable();
     let mut parts = flows
       .chunks(FLOWS_MAX)
       .map(<[Passed]>::to_vec)
       .collect::<Vec<_>>();
-    // No flows are news too: the next run needs to ask its upstream about none.
+    // An empty table is sent too: it saves the next incarnation testing flows at its upstream.
     if parts.is_empty() {
       parts.push(Vec::new());
     }
@@ -64,33 +64,34 @@
     }
   }
 
-  /// Takes a part; true when all are there.
+  /// Adds a part; true once all have arrived.
   pub fn take(&mut self, now: Instant, part: u16, total: u16, flows: Vec<Passed>) -> bool {
     if total == 0 || total > PARTS_MAX || part >= total {
       return false;
     }
-    let earlier = |at: Instant| now.saturating_duration_since(at) >= TOGETHER;
-    if self.total != total || self.at.is_some_and(earlier) {
+    let is_late = |at: Instant| now.saturating_duration_since(at) >= PART_GAP_MAX;
+    if self.total != total || self.at.is_some_and(is_late) {
       self.parts.clear();
       self.total = total;
     }
     self.at = Some(now);
     self.parts.insert(part, flows);
-    self.is_whole()
+    self.is_complete()
   }
 
-  /// How long ago its newest part came.
+  /// The time since the latest part arrived.
   pub fn age(&self, now: Instant) -> Duration {
     let age = |at| now.saturating_duration_since(at);
     self.at.map(age).unwrap_or_default()
   }
 
-  /// Whether all parts are there, and the run that names them was the last one.
+  /// Whether all parts have arrived, recently enough that they are of the previous incarnation.
   pub fn is_whole_at(&self, now: Instant) -> bool {
-    self.is_whole() && self.age(now) < WHOLE
+    self.is_complete() && self.age(now) < COMPLETE_FOR
   }
 
-  /// Sends all flows that are there to a process; as a whole list only where it is one.
+  /// Sends the flows that are known to a process, marked as the whole table if `whole` is set and
+  /// they are.
   pub fn send(&self, now: Instant, whole: bool, to: SocketAddrV4, out: &mut Outbox) {
     let whole = whole && self.is_whole_at(now);
     for (part, flows) in &self.parts {
@@ -103,7 +104,7 @@
     }
   }
 
-  fn is_whole(&self) -> bool {
+  fn is_complete(&self) -> bool {
     self.total > 0 && self.parts.len() == usize::from(self.total)
   }
 }
--- a/src/datagram/head.rs
+++ b/src/datagram/head.rs
@@ -1,23 +1,24 @@
 use super::Flow;
 
-/// What the system reads of a packet. The rest belongs to the caller and the upstream.
+/// The header fields of a packet that are read here. The rest belongs to the caller and the
+/// upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[expect(clippy::struct_excessive_bools, reason = "the flags of a packet")]
 pub struct Head {
-  /// Which of the other end's bytes have arrived; of an opening packet, which copy it is (0, 1..).
+  /// The acknowledgement number; in an opening packet, the number of the attempt, from 0.
   pub acknowledges: u32,
-  /// How many bytes of data follow.
+  /// The length of the data, in bytes.
   pub data: u16,
-  /// Whether the sender has nothing more to say.
+  /// Whether the sender closes its direction.
   pub ends: bool,
-  /// The flow, whichever way the packet goes.
+  /// The flow, whatever the direction of the packet.
   pub flow: Flow,
-  /// Whether it opens a flow; an upstream's answers a caller's.
+  /// Whether it opens a flow, or is the upstream's answer to a packet that does.
   pub opens: bool,
-  /// Whether the sender breaks the flow off.
+  /// Whether the sender resets the flow.
   pub resets: bool,
-  /// Whether an upstream that does not hold the flow sent the packet back.
+  /// Whether an upstream that doesn't own the flow returned the packet.
   pub returned: bool,
-  /// The sender's own count.
+  /// The sequence number.
   pub sequence: u32,
 }
--- a/src/datagram/load.rs
+++ b/src/datagram/load.rs
@@ -1,51 +1,52 @@
 use serde::{Deserialize, Serialize};
 
-/// How busy a target is, by its agent's own count.
+/// The load of a target, as measured by its agent.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-  /// The mean bytes of a request and its answer.
+  /// The average size of a request and its answer, in bytes.
   pub bytes: u32,
-  /// Whether the upstream does not answer at all.
+  /// Whether the upstream answers nothing.
   pub down: bool,
-  /// How many of a hundred requests it most likely failed, lately.
+  /// The percentage of recent requests that the upstream is likely to have failed.
   pub failed: u8,
-  /// Flows that are open.
+  /// The number of open flows.
   pub flows: u16,
-  /// How many new flows the upstream may be given now; none where nothing bounds that.
+  /// How many new flows the upstream may be given now; none if unlimited.
   pub room: Option<u16>,
-  /// The time that the upstream takes for a request that did not wait, in milliseconds.
+  /// The time to process a request that isn't queued, in milliseconds; 0 if unknown.
   pub service_ms: u16,
-  /// Requests that the upstream has and has not answered.
+  /// The number of requests in flight at the upstream.
   pub work: u16,
 }
 
-/// The time that a request is assumed to take where none was measured, in milliseconds.
-const SERVICE_MS: f64 = 40.0;
+/// The processing time that is assumed when unknown, in milliseconds.
+const SERVICE_MS_DEFAULT: f64 = 40.0;
 
 impl Load {
-  /// Whether the upstream may be given no new flow but those that are on their way.
+  /// Whether the upstream can be given no new flow besides the `pending` ones that are on their
+  /// way.
   pub fn is_full(&self, pending: u16) -> bool {
     self.room.is_some_and(|room| room <= pending)
   }
 
-  /// The time that a request takes that does not wait, in milliseconds: measured or assumed.
+  /// The processing time of a request that isn't queued, in milliseconds, measured or assumed.
   pub fn time_ms(&self) -> f64 {
-    assumed(f64::from(self.service_ms))
+    known_or_default(f64::from(self.service_ms))
   }
 }
 
-/// The time until a request more would be answered at a target with so many slots, in
-/// milliseconds; `service_ms` is the time of one that does not wait, 0 where that is unknown.
+/// The time until an additional request would be answered at a target with so many slots, in
+/// milliseconds; `service_ms` is the processing time of one that isn't queued, 0 if unknown.
 pub fn wait_ms(service_ms: f64, work: u16, slots: u16) -> f64 {
-  let service_ms = assumed(service_ms);
+  let service_ms = known_or_default(service_ms);
   let slots = f64::from(slots);
   let queue = (f64::from(work) + 1.0 - slots).max(0.0);
   service_ms + queue * service_ms / slots
 }
 
-fn assumed(service_ms: f64) -> f64 {
+fn known_or_default(service_ms: f64) -> f64 {
   if service_ms == 0.0 {
-    SERVICE_MS
+    SERVICE_MS_DEFAULT
   } else {
     service_ms
   }
--- a/src/datagram/outbox.rs
+++ b/src/datagram/outbox.rs
@@ -3,28 +3,29 @@
   std::{net::SocketAddrV4, ops::Range},
 };
 
-/// Which way a datagram leaves.
+/// The kind of receiver of a datagram.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Via {
-  /// To a caller.
+  /// A caller.
   Callers,
-  /// To another process of the system.
+  /// Another process of the system.
   Peers,
-  /// To the upstream beside the agent.
+  /// The upstream on the agent's instance.
   Upstream,
 }
 
-/// A datagram that waits to be sent.
+/// A datagram that is to be sent.
 #[derive(Clone, Debug)]
 pub struct Datagram {
   range: Range<usize>,
-  /// Who receives it.
+  /// The receiver's address.
   pub to: SocketAddrV4,
-  /// Which way it leaves.
+  /// The kind of receiver.
   pub via: Via,
 }
 
-/// What a machine wants sent. It is used again and again, so that a packet costs no allocation.
+/// The datagrams that a machine wants sent. Its buffers are reused, so that a packet costs no
+/// allocation.
 #[derive(Debug, Default)]
 pub struct Outbox {
   bytes: Vec<u8>,
@@ -37,48 +38,48 @@
     &self.bytes[datagram.range.clone()]
   }
 
-  /// Forgets all.
+  /// Removes all datagrams and keeps the buffers.
   pub fn clear(&mut self) {
     self.bytes.clear();
     self.datagrams.clear();
   }
 
-  /// How many bytes there are.
+  /// The bytes of all datagrams.
   pub fn size(&self) -> usize {
     self.bytes.len()
   }
 
-  /// The datagrams, the first one first.
+  /// The datagrams, in the order in which they are sent.
   pub fn datagrams(&self) -> &[Datagram] {
     &self.datagrams
   }
 
-  /// Adds a frame and the packet that follows it.
+  /// Adds a frame to a process, and the packet that follows it.
   pub fn frame(&mut self, to: SocketAddrV4, frame: &Frame, packet: &[u8]) {
     let start = self.bytes.len();
     frame.encode(&mut self.bytes);
     self.bytes.extend_from_slice(packet);
-    self.close(Via::Peers, to, start);
+    self.push(Via::Peers, to, start);
   }
 
-  /// Whether nothing waits.
+  /// Whether nothing is to be sent.
   pub fn is_empty(&self) -> bool {
     self.datagrams.is_empty()
   }
 
-  /// Adds a packet.
+  /// Adds a packet as it is.
   pub fn packet(&mut self, via: Via, to: SocketAddrV4, packet: &[u8]) {
     self.write(via, to, |out| out.extend_from_slice(packet));
   }
 
-  /// Adds what `write` appends.
+  /// Adds a datagram whose bytes `write` appends.
   pub fn write(&mut self, via: Via, to: SocketAddrV4, write: impl FnOnce(&mut Vec<u8>)) {
     let start = self.bytes.len();
     write(&mut self.bytes);
-    self.close(via, to, start);
+    self.push(via, to, start);
   }
 
-  fn close(&mut self, via: Via, to: SocketAddrV4, start: usize) {
+  fn push(&mut self, via: Via, to: SocketAddrV4, start: usize) {
     self.datagrams.push(Datagram {
       range: start..self.bytes.len(),
       to,
--- a/src/datagram/patience.rs
+++ b/src/datagram/patience.rs
@@ -1,39 +1,39 @@
 use std::time::Duration;
 
-/// The weight of the newest time in the mean.
-const NEWEST: f64 = 0.125;
+/// The weight of the latest answer time in the moving average.
+const WEIGHT: f64 = 0.125;
 
-/// How many times the mean an answer may take before it counts as missing.
-const TIMES: f64 = 3.0;
+/// The ratio of the timeout to the average answer time.
+const FACTOR: f64 = 3.0;
 
-/// The longest wait: half of what passes before a caller's last copy of an opening packet.
-const LONGEST: Duration = Duration::from_millis(300);
+/// The longest timeout: half of the time before a caller's last retransmission of an opening
+/// packet.
+const MAX: Duration = Duration::from_millis(300);
 
-/// How long something may stay unanswered: a few times the mean of what answers take. A balancer
-/// that has more to do than it can would otherwise ask for everything several times, and have even
-/// more to do.
+/// An adaptive timeout: a multiple of the moving average of answer times, so that an overloaded
+/// balancer doesn't add to its load by repeating requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
-  least: Duration,
+  min: Duration,
   mean: f64,
 }
 
 impl Patience {
-  /// A patience that is never shorter than `least`, and `first` before anything is observed.
-  pub fn new(least: Duration, first: Duration) -> Self {
-    let mean = first.as_secs_f64() / TIMES;
-    Self { least, mean }
+  /// A timeout that is never shorter than `min`, and is `first` before any answer is observed.
+  pub fn new(min: Duration, first: Duration) -> Self {
+    let mean = first.as_secs_f64() / FACTOR;
+    Self { min, mean }
   }
 
-  /// An answer took so long.
+  /// Adds an answer time to the average.
   pub fn observe(&mut self, time: Duration) {
-    let time = time.min(LONGEST).as_secs_f64();
-    self.mean += NEWEST * (time - self.mean);
+    let time = time.min(MAX).as_secs_f64();
+    self.mean += WEIGHT * (time - self.mean);
   }
 
-  /// How long the next one may take.
+  /// The timeout of the next request.
   pub fn wait(&self) -> Duration {
-    let wait = Duration::from_secs_f64(TIMES * self.mean);
-    wait.clamp(self.least, LONGEST)
+    let wait = Duration::from_secs_f64(FACTOR * self.mean);
+    wait.clamp(self.min, MAX)
   }
 }
--- a/src/datagram/rate.rs
+++ b/src/datagram/rate.rs
@@ -8,32 +8,33 @@
   },
 };
 
-/// The bytes in a second of one megabit a second.
+/// One megabit per second, in bytes per second.
 const MEGABIT: f64 = 125_000.0;
 
-/// What a link carries, in bytes a second. Its text gives megabits a second, such as `20 Mbit/s`.
+/// The rate of a link, in bytes per second. Its text gives megabits per second, such as `20
+/// Mbit/s`.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Rate(NonZeroU64);
 
-/// A text is no rate.
+/// The error of a text that isn't a rate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected a rate above zero, such as `20 Mbit/s`")]
 pub struct RateInvalid;
 
 impl Rate {
-  /// So many megabits a second; none where that is less than a byte.
+  /// A rate in megabits per second; none if it is less than a byte per second.
   pub fn megabits(megabits: f64) -> Option<Self> {
     let bytes = (megabits * MEGABIT).clamp(0.0, 1e15);
     NonZeroU64::new(bytes as u64).map(Self)
   }
 
-  /// Its order of magnitude: links of nearly the same rate are alike.
+  /// The base-2 logarithm of the rate in bytes per second, rounded down: close rates compare equal.
   pub fn magnitude(self) -> u8 {
     self.0.get().ilog2() as u8
   }
 
-  /// How many bytes it carries in a time.
+  /// How many bytes are transmitted in a time.
   pub fn bytes_in(self, time: Duration) -> f64 {
     self.0.get() as f64 * time.as_secs_f64()
   }
--- a/src/datagram/service.rs
+++ b/src/datagram/service.rs
@@ -14,13 +14,13 @@
 #[serde(from = "String", into = "String")]
 pub struct Service(Arc<str>);
 
-/// A number that stands for the name of a service in frames.
+/// A hash of a service's name, which stands for it in frames.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Digest(pub u64);
 
 impl Service {
-  /// The number that stands for the name.
+  /// The hash that stands for the name in frames.
   pub fn digest(&self) -> Digest {
     Digest(xxh3_64(self.0.as_bytes()))
   }
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -11,45 +11,48 @@
   },
 };
 
-/// What an instance is, and where it listens. The same for both roles.
+/// The settings of a process of either role.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-  /// Where the metrics and the state are served (TCP).
+  /// The address that serves metrics and state to operators (TCP).
   pub api: SocketAddrV4,
-  /// Where callers' packets arrive (UDP). Callers take packets at this port too.
+  /// Where a balancer receives callers' packets (UDP). Its port is also the port at which callers
+  /// receive theirs.
   pub callers: SocketAddrV4,
-  /// The time over which new flows are taken from a data centre that was closed.
+  /// The time over which balancers, one after another, stop placing flows in an evacuated data
+  /// centre.
   pub closing: Duration,
-  /// The data centre that it stands in.
+  /// The data centre that the instance is in.
   pub data_centre: String,
-  /// Whether the whole system starts for the first time, so that no flow can be older.
+  /// Whether the whole system starts for the first time, so that no older flow can exist.
   pub first_start: bool,
-  /// What the instance's link carries; nothing is known of it where this is not set.
+  /// The rate of the instance's link; none if unknown.
   pub link: Option<Rate>,
-  /// How it logs.
+  /// The log's format and level.
   pub log: logging::Settings,
-  /// Where frames (UDP) and questions (TCP) of peers arrive; the port is the same everywhere.
+  /// Where frames (UDP) and update requests (TCP) of peers arrive; the port is the same on all
+  /// instances.
   pub peers: SocketAddrV4,
-  /// The platform's store (TCP).
+  /// The address of the platform's store (TCP).
   pub platform: SocketAddrV4,
-  /// Where it is asked whether it is ready (TCP).
+  /// The address that serves the readiness check (TCP).
   pub readiness: SocketAddrV4,
-  /// Some balancers, by the address where their peers reach them.
+  /// The `peers` addresses of some balancers, to be contacted at the start.
   pub seeds: Vec<SocketAddrV4>,
-  /// What an agent stands beside; none at a balancer.
+  /// The upstream of an agent; none for a balancer.
   pub upstream: Option<Upstream>,
 }
 
-/// The upstream beside an agent.
+/// The upstream on the same instance as an agent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-  /// Where it takes packets (UDP).
+  /// Where it receives packets (UDP).
   pub address: SocketAddrV4,
-  /// Where its own packets arrive (UDP).
+  /// Where the agent receives the packets that it sends (UDP).
   pub outbound: SocketAddrV4,
-  /// The service that it serves.
+  /// The service that it belongs to.
   pub service: Service,
 }
 
@@ -74,7 +77,7 @@
 }
 
 impl Settings {
-  /// Checks what the types alone do not.
+  /// Checks the values. Fails if a port that all instances share is 0.
   pub fn check(&self) -> Result<(), Fault> {
     if self.peers.port() == 0 || self.callers.port() == 0 {
       return Err(Fault::new(
@@ -86,58 +89,57 @@
   }
 }
 
-/// The bounds and times of the decisions.
+/// Limits and intervals of the machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-  /// How long after a start an agent may meet flows that it does not know: a flow's longest life.
+  /// The longest life of a flow, hence how long after its start an agent may get packets of flows
+  /// that it doesn't know.
   pub amnesia: Duration,
-  /// What it costs, in milliseconds of waiting, to leave the data centre: always, and for each
-  /// kilobyte of a request and its answer. Traffic between data centres has a price; of (10, 8),
-  /// (20, 16), (40, 8) and (40, 32) the two in the middle did best.
+  /// The price of placing a flow in another data centre, as milliseconds of waiting: per flow, and
+  /// per kilobyte of a request and its answer.
   pub crossing: (f64, f64),
-  /// How long an opened flow counts as work before its first request has come: at least, which
-  /// callers near by need, and before it is known what callers need.
+  /// How long an opened flow counts as a request in flight before its first request arrives: the
+  /// minimum, and the value before any has been observed.
   pub expected: (Duration, Duration),
-  /// How long a flow that was reset is remembered.
+  /// How long a reset flow is remembered.
   pub dead: Duration,
-  /// How often a process of another data centre is told at most: between data centres a byte has a
-  /// price. It has to be told more often than `silent`.
+  /// The interval of statuses to balancers of other data centres, where traffic is paid for;
+  /// shorter than `silent`.
   pub far: Duration,
-  /// How often an agent in another data centre is told by a balancer; it hears news at once.
+  /// The interval of a balancer's statuses to agents of other data centres. Updates are pushed to
+  /// them at once.
   pub far_agent: Duration,
-  /// How many flows are remembered.
+  /// The most flows that are remembered.
   pub flows_max: usize,
-  /// How long a flow without packets is remembered where the configuration does not say.
+  /// The idle timeout of flows before there is a configuration.
   pub idle: Duration,
-  /// How long a target may take for an opening packet before another is asked. Targets answer
-  /// within a millisecond; a round trip between data centres takes three.
+  /// How long a target may take to answer an opening packet before another is tried. A round trip
+  /// between data centres takes 3 ms.
   pub open_wait: Duration,
-  /// How many balancers read from the platform.
+  /// How many balancers read the platform.
   pub readers: usize,
-  /// How often load is told at most.
+  /// The shortest interval between two load reports.
   pub report: Duration,
-  /// How long a search waits for answers before it asks those again that are silent; each time
-  /// twice as long.
+  /// How long a search waits for answers before it repeats its queries; the wait doubles each time.
   pub search: Duration,
-  /// How long agents of the balancer's own data centre are waited for before all others are asked
-  /// too: longer than `test`, since one that has just started tries first.
+  /// How long a search waits for the agents of the balancer's own data centre before it queries all
+  /// others; longer than `test`, since an agent that has just started may have to run a test first.
   pub search_local: Duration,
-  /// How many bytes of packets are held while their flows are searched for.
+  /// The most bytes of packets that are buffered while their flows are searched.
   pub search_bytes: usize,
-  /// A process that was not heard of for so long is passed over.
+  /// The time without a frame after which a process counts as unresponsive.
   pub silent: Duration,
-  /// How often a process tells of itself at least.
+  /// The longest interval between two statuses of a process.
   pub status: Duration,
-  /// A balancer reads itself once nobody's word of the platform is younger: longer than a watch
-  /// takes and its word spreads, and short enough that a configuration is in force in time.
+  /// How old the platform's latest confirmation of the catalog may become before a balancer reads
+  /// the platform itself; longer than a watch of the reader and the spread of its status.
   pub takeover: Duration,
-  /// The part of a route's objective that a new flow may wait for its answer: measured on the days
-  /// that end with a loss of power, 0.5 and 0.6 did equally well, and 0.8 worse.
+  /// The fraction of its route's objective that a new flow may be queued, so that its request can
+  /// still be answered in time.
   pub wait_part: f64,
-  /// The same for a route that others of its service go behind: at 0.75 most of what is placed is
-  /// still answered in time.
+  /// The same for a route that has precedence over others of its service.
   pub wait_part_first: f64,
-  /// How long an agent waits for an upstream to send back a packet that it may not hold.
+  /// How long an agent waits for the upstream to return a packet that it sent as a test.
   pub test: Duration,
 }
 
