--- a/src/datagram/node.rs
+++ b/src/datagram/node.rs
@@ -1,9 +1,8 @@
-//! The process around a machine: a thread that carries packets, and one that asks and answers
-//! over HTTP.
+//! The process around a machine: a thread that carries packets, and one for HTTP requests.
 
 mod allowance;
-mod carrier;
 mod control;
+mod packet_loop;
 mod resource;
 mod run;
 mod shared;
--- a/src/datagram/node/allowance.rs
+++ b/src/datagram/node/allowance.rs
@@ -6,28 +6,28 @@
   },
 };
 
-/// The part of the link that large answers to peers may take: callers' packets need the rest.
-const PART: f64 = 0.5;
+/// The share of the link that large responses to peers may use; the rest is left for callers'
+/// packets.
+const LINK_SHARE: f64 = 0.5;
 
-/// How long the answers that are on their way may take together: less than peers wait for one. Where all
-/// were answered at once over a thin link none was whole in time, each asked again for the same, and
-/// the link stayed full for 20 s.
-const BACKLOG: Duration = Duration::from_millis(200);
+/// How long the responses in flight may take together; shorter than the timeout of a pull, so that
+/// responses over a slow link arrive in time and aren't requested again.
+const BACKLOG_MAX: Duration = Duration::from_millis(200);
 
-/// What is smaller is always answered, in bytes.
-const SMALL: usize = 4096;
+/// Smaller responses are always allowed, in bytes.
+const LIMITED_FROM: usize = 4096;
 
-/// How much peers may be told at once over the instance's link. Who is turned away asks another, which
-/// may know the same by then.
+/// Limits the responses to peers to what the instance's link carries. A peer that is refused pulls
+/// from another one.
 #[derive(Debug)]
 pub struct Allowance {
   link: Option<Rate>,
-  /// Until when the answers that were allowed take their part of the link.
+  /// When the share of the link is free again after the responses allowed so far.
   until: Mutex<Option<Instant>>,
 }
 
 impl Allowance {
-  /// The allowance of an instance, where its link's rate is known; all is allowed where it is not.
+  /// The limit of an instance whose link has this rate; without one everything is allowed.
   pub fn new(link: Option<Rate>) -> Self {
     Self {
       link,
@@ -35,18 +35,18 @@
     }
   }
 
-  /// Whether an answer of so many bytes may be sent now; it counts if so.
-  pub fn takes(&self, now: Instant, bytes: usize) -> bool {
-    let Some(link) = self.link.filter(|_| bytes >= SMALL) else {
+  /// Whether a response of so many bytes may be sent now; if so, it is counted.
+  pub fn admits(&self, now: Instant, bytes: usize) -> bool {
+    let Some(link) = self.link.filter(|_| bytes >= LIMITED_FROM) else {
       return true;
     };
     let mut until = self.until.lock().unwrap_or_else(PoisonError::into_inner);
     let from = until.map_or(now, |until| until.max(now));
-    if from > now + BACKLOG {
+    if from > now + BACKLOG_MAX {
       return false;
     }
-    let second = link.bytes_in(Duration::from_secs(1)) * PART;
-    *until = Some(from + Duration::from_secs_f64(bytes as f64 / second));
+    let bytes_per_second = link.bytes_in(Duration::from_secs(1)) * LINK_SHARE;
+    *until = Some(from + Duration::from_secs_f64(bytes as f64 / bytes_per_second));
     true
   }
 }
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -2,7 +2,7 @@
   super::{
     allowance::Allowance,
     resource,
-    shared::{Message, Question, Shared},
+    shared::{Message, Pull, Shared},
     source::Source,
   },
   crate::{
@@ -25,48 +25,50 @@
   tokio::sync::{mpsc, oneshot},
 };
 
-/// How long a watch waits for something to change. The word of a reader counts as fresh for about
-/// as long.
-const WATCH: Duration = Duration::from_millis(1200);
+/// How long a watch waits for a change. A reader's status counts as fresh for about as long.
+const WATCH_WAIT: Duration = Duration::from_millis(1200);
 
-/// How long a reader waits after an answer before it asks again. Each call has a price, and changes
-/// come in bursts.
-const PAUSE: Duration = Duration::from_millis(250);
+/// The pause after an answer of the platform: each call has a price, and changes come in bursts.
+const READ_PAUSE: Duration = Duration::from_millis(250);
 
-/// The waits after failures: the first, and the longest.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// The wait after the first failure; doubled with each further one.
+const BACK_OFF_MIN: Duration = Duration::from_millis(100);
 
-/// How long the first question to the platform may stay unanswered before another is asked beside
-/// it: longer than a slow platform takes for most answers.
-const AGAIN: Duration = Duration::from_millis(300);
+/// The longest wait after a failure.
+const BACK_OFF_MAX: Duration = Duration::from_millis(800);
 
-/// How many first questions wait for an answer at the same time at most: as many as are asked
-/// before one is given up.
-const READS_MAX: usize = 4;
+/// The interval of concurrent attempts at the first read; longer than a slow platform takes for
+/// most answers.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a peer may take to answer a question.
-const ANSWER: Duration = Duration::from_millis(400);
+/// The most concurrent attempts at the first read: as many as start before the first one times out.
+const ATTEMPTS_MAX: usize = 4;
 
-/// The path where peers ask for news.
-const NEWS: &str = "/v1/news";
+/// The timeout of a pull from a peer, and of a state dump.
+const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The path of the counts and times.
+/// The path at which peers pull updates.
+const UPDATE_PATH: &str = "/v1/news";
+
+/// The path of the metrics.
 const METRICS: &str = "/metrics";
 
-/// The path of all services, and what that of one begins with.
+/// The path of all services.
 const SERVICES: &str = "/v1/services";
-const SERVICE: &str = "/v1/services/";
 
-/// The path of the state.
+/// The prefix of the path of one service.
+const SERVICE_PREFIX: &str = "/v1/services/";
+
+/// The path of the state dump.
 const STATE: &str = "/v1/state";
 
-/// Asks the platform and peers, and answers peers, the platform and operators, until the process
-/// ends.
+/// Runs the control thread: reads the platform, pulls updates from peers, and serves requests of
+/// peers, the platform and operators, until the process ends. Fails if an address can't be served.
 pub fn run<S: Source>(
   settings: &Settings,
   source: &S,
   shared: &Arc<Shared>,
-  questions: mpsc::UnboundedReceiver<Question>,
+  pulls: mpsc::UnboundedReceiver<Pull>,
 ) -> Result<(), Fault> {
   let runtime = tokio::runtime::Builder::new_current_thread()
     .enable_all()
@@ -74,64 +76,64 @@
     .map_err(|error| Fault::new(Code::ChildFailed, error))?;
   runtime.block_on(async {
     let reads = read(source.clone(), Arc::clone(shared));
-    let asks = ask(questions, Arc::clone(shared));
-    let part = Part {
+    let pulls = run_pulls(pulls, Arc::clone(shared));
+    let context = Context {
       allowance: Arc::new(Allowance::new(settings.link)),
       shared: Arc::clone(shared),
       source: source.clone(),
     };
-    let readiness = serve(settings.readiness, &part);
-    let peers = serve(settings.peers, &part);
-    let api = serve(settings.api, &part);
-    let ((), (), readiness, peers, api) = tokio::join!(reads, asks, readiness, peers, api);
+    let readiness = serve(settings.readiness, &context);
+    let peers = serve(settings.peers, &context);
+    let api = serve(settings.api, &context);
+    let ((), (), readiness, peers, api) = tokio::join!(reads, pulls, readiness, peers, api);
     readiness.and(peers).and(api)
   })
 }
 
-/// Reads the platform while that is this process's part.
+/// Reads the platform while this process is selected to.
 async fn read<S: Source>(source: S, shared: Arc<Shared>) {
   let mut reading = shared.reading.subscribe();
-  let mut back_off = BACK_OFF.0;
-  let mut lost: Option<Instant> = None;
-  let mut whole = true;
+  let mut back_off = BACK_OFF_MIN;
+  let mut failing_since: Option<Instant> = None;
+  let mut snapshot_due = true;
   loop {
     if reading.wait_for(|reading| reading.wanted).await.is_err() {
       return;
     }
     let after = reading.borrow().after;
     let answer = match after {
-      Some(after) if !whole => source.watch(after, WATCH).await,
+      Some(after) if !snapshot_due => source.watch(after, WATCH_WAIT).await,
       Some(_) => source.read().await.map(Some),
       None => read_first(&source).await.map(Some),
     };
     match answer {
       Ok(news) => {
-        whole = news.is_none();
-        if let Some(since) = lost.take() {
+        snapshot_due = news.is_none();
+        if let Some(since) = failing_since.take() {
           log::info!(after:? = since.elapsed(); "control: platform answers again.");
         }
-        back_off = BACK_OFF.0;
+        back_off = BACK_OFF_MIN;
         if let Some(news) = news {
-          shared.tell(Message::News(Origin::Platform, news));
+          shared.send(Message::News(Origin::Platform, news));
         } else {
-          log::info!("control: platform has forgotten its history and is read whole.");
+          log::info!("control: platform no longer has the history; reading a snapshot.");
         }
-        // What comes in quick succession is read with one call; meanwhile the packet thread
-        // publishes where the next watch begins.
-        tokio::time::sleep(PAUSE).await;
+        // Collects changes in quick succession into one read; meanwhile the packet thread publishes
+        // the revision from which the next watch starts.
+        tokio::time::sleep(READ_PAUSE).await;
       }
       Err(fault) => {
         shared.counter.count(fault.code);
-        if lost.is_none() {
+        if failing_since.is_none() {
           log::warn!(fault:% = fault; "control: platform does not answer.");
-          lost = Some(Instant::now());
+          failing_since = Some(Instant::now());
         }
         tokio::time::sleep(back_off).await;
-        // Where nothing is known, nothing can be served.
+        // Without any configuration nothing can be served, so the wait stays short.
         let longest = if after.is_some() {
-          BACK_OFF.1
+          BACK_OFF_MAX
         } else {
-          BACK_OFF.0
+          BACK_OFF_MIN
         };
         back_off = (back_off * 2).min(longest);
       }
@@ -139,15 +141,14 @@
   }
 }
 
-/// Reads for the first time. Beside a question that is not answered soon another one is asked, since
-/// its connection may be dead for good, and the first answer is taken: after a silence of the
-/// platform balancers that had started meanwhile placed flows after 0.07 s, not 0.6 s (by the logs).
+/// Reads a snapshot. Starts further attempts while earlier ones are unanswered, since their
+/// connections may be dead, and returns the first answer.
 async fn read_first<S: Source>(source: &S) -> Result<News, Fault> {
   let mut reads = FuturesUnordered::new();
-  let mut again = tokio::time::interval(AGAIN);
+  let mut attempts = tokio::time::interval(ATTEMPT_INTERVAL);
   loop {
     tokio::select! {
-      _ = again.tick(), if reads.len() < READS_MAX => reads.push(source.read()),
+      _ = attempts.tick(), if reads.len() < ATTEMPTS_MAX => reads.push(source.read()),
       Some(answer) = reads.next() => {
         if answer.is_ok() || reads.is_empty() {
           return answer;
@@ -157,26 +158,26 @@
   }
 }
 
-/// Asks peers for what they know.
-async fn ask(mut questions: mpsc::UnboundedReceiver<Question>, shared: Arc<Shared>) {
-  while let Some(question) = questions.recv().await {
+/// Pulls updates from peers.
+async fn run_pulls(mut pulls: mpsc::UnboundedReceiver<Pull>, shared: Arc<Shared>) {
+  while let Some(pull) = pulls.recv().await {
     let shared = Arc::clone(&shared);
     tokio::spawn(async move {
-      match news(question.peer, question.after).await {
-        Ok(news) => shared.tell(Message::News(Origin::Peer(question.peer), news)),
+      match pull_update(pull.peer, pull.after).await {
+        Ok(news) => shared.send(Message::News(Origin::Peer(pull.peer), news)),
         Err(fault) => {
           shared.counter.count(Code::PeerUnreachable);
-          log::info!(peer:% = question.peer, fault:% = fault; "control: peer does not answer.");
-          shared.tell(Message::Unreachable(question.peer));
+          log::info!(peer:% = pull.peer, fault:% = fault; "control: peer does not answer.");
+          shared.send(Message::Unreachable(pull.peer));
         }
       }
     });
   }
 }
 
-async fn news(peer: SocketAddrV4, after: Revision) -> Result<News, Fault> {
-  let path = format!("{NEWS}?after={after}");
-  let (status, body) = web::request(peer.into(), Method::GET, &path, "", ANSWER).await?;
+async fn pull_update(peer: SocketAddrV4, after: Revision) -> Result<News, Fault> {
+  let path = format!("{UPDATE_PATH}?after={after}");
+  let (status, body) = web::request(peer.into(), Method::GET, &path, "", PEER_TIMEOUT).await?;
   if status != StatusCode::OK {
     return Err(Fault::new(
       Code::PeerUnreachable,
@@ -187,21 +188,27 @@
     .map_err(|error| Fault::new(Code::FrameTruncated, format!("{peer}: {error}")))
 }
 
-/// What questions are answered from.
+/// What requests are served from.
 #[derive(Clone)]
-struct Part<S> {
+struct Context<S> {
   allowance: Arc<Allowance>,
   shared: Arc<Shared>,
   source: S,
 }
 
-async fn serve<S: Source>(address: SocketAddrV4, part: &Part<S>) -> Result<(), Fault> {
-  let part = part.clone();
-  web::serve(address.into(), move |request| answer(request, part.clone())).await
+async fn serve<S: Source>(address: SocketAddrV4, context: &Context<S>) -> Result<(), Fault> {
+  let context = context.clone();
+  web::serve(address.into(), move |request| {
+    answer(request, context.clone())
+  })
+  .await
 }
 
-async fn answer<S: Source>(request: Request<Incoming>, part: Part<S>) -> Response<Full<Bytes>> {
-  let Part { shared, source, .. } = &part;
+async fn answer<S: Source>(
+  request: Request<Incoming>,
+  context: Context<S>,
+) -> Response<Full<Bytes>> {
+  let Context { shared, source, .. } = &context;
   let readiness = source.readiness_path();
   if request.method() != Method::GET {
     return web::answer(StatusCode::METHOD_NOT_ALLOWED, "");
@@ -212,27 +219,27 @@
       StatusCode::OK,
       resource::services(&shared.catalog()).to_string(),
     ),
-    NEWS => tell_news(request.uri().query(), &part),
+    UPDATE_PATH => tell_news(request.uri().query(), &context),
     STATE => dump(source, shared).await,
-    path if path.starts_with(SERVICE) => show_service(&path[SERVICE.len()..], shared),
+    path if path.starts_with(SERVICE_PREFIX) => show_service(&path[SERVICE_PREFIX.len()..], shared),
     path if path == readiness && shared.is_ready() => web::answer(StatusCode::OK, ""),
     path if path == readiness => web::answer(StatusCode::SERVICE_UNAVAILABLE, ""),
     _ => web::answer(StatusCode::NOT_FOUND, ""),
   }
 }
 
-/// The counts and times, and how much of the platform's word cannot be obeyed.
+/// The metrics, including the number of platform entries that are ignored as invalid.
 fn metrics<S: Source>(source: &S, shared: &Shared) -> String {
   let ignored = source.ignored().len();
   let counts = shared.counter.text();
   format!("{counts}fallwell_count{{name=\"ignored\"}} {ignored}\n")
 }
 
-/// The state as the packet thread sees it, and what of the platform's word cannot be obeyed.
+/// The state of the packet thread, and the platform entries that are ignored as invalid.
 async fn dump<S: Source>(source: &S, shared: &Shared) -> Response<Full<Bytes>> {
-  let (asker, state) = oneshot::channel();
-  shared.tell(Message::Dump(asker));
-  match tokio::time::timeout(ANSWER, state).await {
+  let (response, state) = oneshot::channel();
+  shared.send(Message::Dump(response));
+  match tokio::time::timeout(PEER_TIMEOUT, state).await {
     Ok(Ok(mut state)) => {
       state["ignored"] = json!(source.ignored());
       web::answer(StatusCode::OK, state.to_string())
@@ -250,15 +257,16 @@
   web::answer(StatusCode::NOT_FOUND, body.to_string())
 }
 
-fn tell_news<S>(query: Option<&str>, part: &Part<S>) -> Response<Full<Bytes>> {
+fn tell_news<S>(query: Option<&str>, context: &Context<S>) -> Response<Full<Bytes>> {
   let after = web::parameter(query, "after");
   let Some(after) = after.and_then(|after| after.parse().ok()) else {
     return web::answer(StatusCode::BAD_REQUEST, "expected `after`, a revision");
   };
-  match postcard::to_allocvec(&part.shared.catalog().since(after)) {
-    Ok(body) if !part.allowance.takes(Instant::now(), body.len()) => {
-      web::answer(StatusCode::SERVICE_UNAVAILABLE, "ask another")
-    }
+  match postcard::to_allocvec(&context.shared.catalog().since(after)) {
+    Ok(body) if !context.allowance.admits(Instant::now(), body.len()) => web::answer(
+      StatusCode::SERVICE_UNAVAILABLE,
+      "link is busy; pull from another peer",
+    ),
     Ok(body) => web::answer(StatusCode::OK, body),
     Err(error) => web::answer(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
   }
--- a/src/datagram/node/carrier.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -1,5 +1,5 @@
 use {
-  super::shared::{Message, Question, Reading, Shared},
+  super::shared::{Message, Pull, Reading, Shared},
   crate::{
     Code,
     code::Fault,
@@ -19,27 +19,27 @@
   },
 };
 
-/// Frames from peers.
+/// The socket of frames from peers.
 const PEERS: Token = Token(0);
 
-/// Callers' packets at a balancer, the upstream's at an agent.
+/// The socket of callers' packets at a balancer, of the upstream's at an agent.
 const PACKETS: Token = Token(1);
 
-/// Messages from the control thread.
+/// The waker of the control thread, which announces messages.
 pub const MESSAGES: Token = Token(2);
 
-/// Room for the largest datagram, in bytes.
-const ROOM: usize = 1 << 16;
+/// The size of the receive buffer, in bytes: the largest datagram.
+const BUFFER: usize = 1 << 16;
 
-/// How many datagrams of one socket are taken before the others have their turn.
-const TURN: usize = 32;
+/// The most datagrams that are handled of one socket before the others have their turn.
+const BURST_MAX: usize = 32;
 
-/// How often a process looks whether it is to read: that takes a look at all its peers, and a busy one
-/// wakes up hundreds of times a second.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a process checks whether it is to read the platform; the check iterates over all its
+/// peers.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How late a machine is told of the time at most, where datagrams wait to be read.
-const BEHIND: Duration = Duration::from_millis(50);
+/// How late a tick may be while datagrams are still to be read.
+const TICK_DELAY_MAX: Duration = Duration::from_millis(50);
 
 /// The sockets of a process.
 pub struct Sockets {
@@ -48,7 +48,8 @@
 }
 
 impl Sockets {
-  /// Binds them: `peers` for frames, `packets` for callers or the upstream.
+  /// Binds both: `peers` for frames, `packets` for callers or the upstream. Fails if an address is
+  /// unavailable.
   pub fn bind(peers: SocketAddrV4, packets: SocketAddrV4) -> Result<Self, Fault> {
     let bind = |address: SocketAddrV4| {
       UdpSocket::bind(address.into())
@@ -61,8 +62,8 @@
   }
 }
 
-/// Feeds a machine with packets, frames, messages and the time, and sends what it wants sent.
-pub struct Carrier<M> {
+/// Runs a machine: passes it packets, frames, messages and ticks, and sends what it wants sent.
+pub struct PacketLoop<M> {
   buffer: Vec<u8>,
   bundler: Bundler,
   machine: M,
@@ -70,14 +71,15 @@
   out: Outbox,
   poll: Poll,
   published: Option<u64>,
-  /// Whether this process reads, and when that was looked at.
+  /// Whether this process is to read the platform, and when that was last checked.
   reader: Option<(Instant, bool)>,
   shared: Arc<Shared>,
   sockets: Sockets,
 }
 
-impl<M: Machine> Carrier<M> {
-  /// A carrier whose sockets wake `poll`.
+impl<M: Machine> PacketLoop<M> {
+  /// Creates a packet loop and registers its sockets with `poll`. Fails if they can't be
+  /// registered.
   pub fn new(
     machine: M,
     poll: Poll,
@@ -94,7 +96,7 @@
       .register(&mut sockets.packets, PACKETS, Interest::READABLE)
       .map_err(failed)?;
     Ok(Self {
-      buffer: vec![0; ROOM],
+      buffer: vec![0; BUFFER],
       bundler: Bundler::default(),
       machine,
       messages,
@@ -107,9 +109,10 @@
     })
   }
 
-  /// Carries packets until it is told to end.
+  /// Runs the packet loop until `Message::End`. Fails if polling or a socket fails.
   pub fn run(&mut self) -> Result<(), Fault> {
     let mut events = Events::with_capacity(8);
+    // Whether datagrams may be waiting: from peers, and packets.
     let mut waiting = [true, true];
     loop {
       let now = Instant::now();
@@ -129,16 +132,17 @@
             _ => {}
           }
         }
-        if self.take_messages() {
+        if self.handle_messages() {
           return Ok(());
         }
       }
       waiting[1] = waiting[1] && self.drain(PACKETS)?;
       waiting[0] = waiting[0] && self.drain(PEERS)?;
       let now = Instant::now();
-      // An answer that waits to be read is not missing: what has arrived is read first.
-      let behind = waiting != [false, false] && now < self.machine.deadline() + BEHIND;
-      if self.machine.deadline() <= now && !behind {
+      // A tick may time out requests whose responses have already arrived, so what is in the
+      // sockets is handled first.
+      let postponed = waiting != [false, false] && now < self.machine.deadline() + TICK_DELAY_MAX;
+      if self.machine.deadline() <= now && !postponed {
         self.machine.step(now, Event::Tick, &mut self.out);
       }
       self.flush();
@@ -149,24 +153,24 @@
     }
   }
 
-  /// How long nothing is due.
+  /// The time until the machine or the log has something to do.
   fn wait(&self, now: Instant) -> Duration {
     let due = self.machine.deadline();
     let due = logging::due().map_or(due, |logs| due.min(logs));
     due.saturating_duration_since(now)
   }
 
-  /// Takes some datagrams of one socket; true when more may wait. What they lead to leaves
-  /// together.
+  /// Handles some datagrams of one socket and sends the results together; true if more may be
+  /// waiting.
   fn drain(&mut self, token: Token) -> Result<bool, Fault> {
-    let more = self.take_datagrams(token);
+    let more = self.handle_datagrams(token);
     self.flush();
     more
   }
 
-  fn take_datagrams(&mut self, token: Token) -> Result<bool, Fault> {
+  fn handle_datagrams(&mut self, token: Token) -> Result<bool, Fault> {
     let now = Instant::now();
-    for _ in 0..TURN {
+    for _ in 0..BURST_MAX {
       let socket = match token {
         PEERS => &self.sockets.peers,
         _ => &self.sockets.packets,
@@ -174,7 +178,7 @@
       let (length, from) = match socket.recv_from(&mut self.buffer) {
         Ok(received) => received,
         Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
-        // What an earlier datagram met, such as a port where nobody listens.
+        // The error of an earlier datagram, such as an ICMP "port unreachable".
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => continue,
         Err(error) if error.kind() == ErrorKind::Interrupted => continue,
         Err(error) => return Err(Fault::new(Code::ChildFailed, error)),
@@ -218,12 +222,13 @@
     self.out.clear();
   }
 
-  /// Shows the other thread what is known and what is to be read.
+  /// Publishes the catalog, and what is to be read, to the control thread.
   fn publish(&mut self, now: Instant) {
     let spread = self.machine.spread();
-    let known = self.reader;
-    let known = known.filter(|(at, _)| now.saturating_duration_since(*at) < LOOK);
-    let (at, reader) = known.unwrap_or_else(|| (now, spread.is_reader(now)));
+    let checked = self.reader;
+    let checked =
+      checked.filter(|(at, _)| now.saturating_duration_since(*at) < READER_CHECK_INTERVAL);
+    let (at, reader) = checked.unwrap_or_else(|| (now, spread.is_reader(now)));
     self.reader = Some((at, reader));
     let catalog = spread.catalog();
     let reading = Reading {
@@ -233,9 +238,9 @@
         .then(|| catalog.complete()),
       wanted: reader,
     };
-    self.shared.reading.send_if_modified(|held| {
-      let modified = held.wanted != reading.wanted;
-      *held = reading;
+    self.shared.reading.send_if_modified(|current| {
+      let modified = current.wanted != reading.wanted;
+      *current = reading;
       modified
     });
     if self.published != Some(spread.version()) {
@@ -243,25 +248,25 @@
       self.shared.publish(spread.catalog().clone());
     }
     if let Some((peer, after)) = spread.take_wanted() {
-      // The control thread ends only with the process.
-      let _ = self.shared.questions.send(Question { after, peer });
+      // Sending fails only while the process ends.
+      let _ = self.shared.pulls.send(Pull { after, peer });
     }
   }
 
-  /// Takes the control thread's messages; true when it is to end.
-  fn take_messages(&mut self) -> bool {
+  /// Handles the control thread's messages; true once the packet loop is to end.
+  fn handle_messages(&mut self) -> bool {
     while let Ok(message) = self.messages.try_recv() {
       let now = Instant::now();
       let event = match message {
-        Message::Dump(asker) => {
-          // Whoever asked may have gone.
-          let _ = asker.send(self.machine.dump(now));
+        Message::Dump(response) => {
+          // The requester may have timed out.
+          let _ = response.send(self.machine.dump(now));
           continue;
         }
         Message::End(done) => {
           self.machine.step(now, Event::End, &mut self.out);
           self.flush();
-          // Whoever waits may have given up.
+          // The waiting thread may have timed out.
           let _ = done.send(());
           return true;
         }
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -7,10 +7,10 @@
   std::collections::BTreeSet,
 };
 
-/// The services that a process has in force, as the resource API shows them.
+/// The services that a process routes to or has targets of, as the resource API shows them.
 pub fn services(catalog: &Catalog) -> Value {
   let routed = catalog.configuration().into_iter();
-  let routed = routed.flat_map(|held| held.routes.values());
+  let routed = routed.flat_map(|configuration| configuration.routes.values());
   let routed = routed.flat_map(|route| route.backends.services());
   let listed = catalog.entries().map(|(_, entry)| &entry.target.service);
   let names = routed.chain(listed).collect::<BTreeSet<_>>();
@@ -18,7 +18,7 @@
   Value::Array(shown.collect())
 }
 
-/// One of them; none where no route leads to it and no target serves it.
+/// One service; none if no route leads to it and it has no listed target.
 pub fn service(catalog: &Catalog, name: &str) -> Option<Value> {
   let services = services(catalog);
   let services = services.as_array()?.iter();
@@ -46,9 +46,9 @@
     })
   });
   let configuration = catalog.configuration();
-  let routes = configuration.into_iter().flat_map(|held| &held.routes);
-  let led = routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
-  let (routes, weights): (Vec<_>, Vec<_>) = led
+  let routes = configuration.into_iter().flat_map(|configuration| &configuration.routes);
+  let matching = routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
+  let (routes, weights): (Vec<_>, Vec<_>) = matching
     .map(|(address, route)| (address.to_string(), route.backends.weight(name)))
     .unzip();
   json!({
--- a/src/datagram/node/run.rs
+++ b/src/datagram/node/run.rs
@@ -1,8 +1,8 @@
 use {
   super::{
-    carrier::{Carrier, MESSAGES, Sockets},
     control,
-    shared::{Message, Question, Shared},
+    packet_loop::{MESSAGES, PacketLoop, Sockets},
+    shared::{Message, Pull, Shared},
     source::Source,
   },
   crate::{
@@ -24,46 +24,47 @@
   tokio::sync::mpsc,
 };
 
-/// How long a stopping balancer goes on: the fabric looks twice, half a second apart, before it
-/// sends callers elsewhere.
-const BALANCER: Linger = Linger {
-  least: Duration::from_millis(1700),
-  most: Duration::from_millis(1700),
+/// The shutdown time of a balancer: the fabric checks readiness twice, half a second apart, before
+/// it sends callers elsewhere.
+const BALANCER_LINGER: Linger = Linger {
+  min: Duration::from_millis(1700),
+  max: Duration::from_millis(1700),
 };
 
-/// How long a stopping agent goes on: until balancers have heard that it takes no new flows, and then
-/// until its upstream has answered what it was asked. Flows that go on have idle moments before long.
-const AGENT: Linger = Linger {
-  least: Duration::from_millis(20),
-  most: Duration::from_millis(700),
+/// The shutdown time of an agent: until balancers have learned that it takes no new flows, and then
+/// until its upstream has answered all requests in flight. Flows with further requests are idle in
+/// between.
+const AGENT_LINGER: Linger = Linger {
+  min: Duration::from_millis(20),
+  max: Duration::from_millis(700),
 };
 
-/// How often a stopping process looks whether it is quiet.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a stopping process checks whether it is idle.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a stopping process goes on: at least, and at most where it is not quiet before.
+/// The shutdown time of a process: the minimum, and the maximum if it doesn't become idle before.
 struct Linger {
-  least: Duration,
-  most: Duration,
+  min: Duration,
+  max: Duration,
 }
 
-/// How long the packet thread may take for its last word: far more than all flows of a target need.
-const LAST_WORD: Duration = Duration::from_secs(1);
+/// The timeout of the packet thread's final message.
+const END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a role is run with.
-struct Part<M, R> {
+/// What differs between the roles.
+struct Program<M, R> {
   counter: Arc<Counter>,
   linger: Linger,
   machine: M,
-  /// Where callers' packets arrive, or the upstream's.
+  /// Where packets arrive: callers' at a balancer, the upstream's at an agent.
   packets: SocketAddrV4,
-  /// Reads the settings again.
+  /// Reloads the settings.
   reload: R,
   role: &'static str,
 }
 
-/// Runs a balancer until it is told to stop and callers have been led elsewhere. On SIGHUP `reload`
-/// reads the settings again.
+/// Runs a balancer until it is told to stop and the fabric has sent callers elsewhere. On SIGHUP,
+/// `reload` reads the settings again. Fails if the process can't start or a thread fails.
 pub fn balancer<C: Codec, S: Source>(
   settings: &Settings,
   codec: C,
@@ -73,18 +74,19 @@
   let counter = Arc::new(Counter::default());
   let (now, tuning, incarnation) = (Instant::now(), Tuning::default(), rand::random());
   let counts = Arc::clone(&counter);
-  let part = Part {
+  let program = Program {
     counter,
-    linger: BALANCER,
+    linger: BALANCER_LINGER,
     machine: balancer::Machine::new(now, settings, tuning, codec, incarnation, counts),
     packets: settings.callers,
     reload,
     role: "balancer",
   };
-  run(settings, source, part)
+  run(settings, source, program)
 }
 
-/// Runs an agent until it is told to stop. On SIGHUP `reload` reads the settings again.
+/// Runs an agent until it is told to stop. On SIGHUP, `reload` reads the settings again. Fails if
+/// the process can't start or a thread fails.
 pub fn agent<C: Codec, S: Source>(
   settings: &Settings,
   upstream: Upstream,
@@ -96,66 +98,72 @@
   let (now, tuning, incarnation) = (Instant::now(), Tuning::default(), rand::random());
   let counts = Arc::clone(&counter);
   let packets = upstream.outbound;
-  let part = Part {
+  let program = Program {
     counter,
-    linger: AGENT,
+    linger: AGENT_LINGER,
     machine: agent::Machine::new(now, settings, upstream, tuning, codec, incarnation, counts),
     packets,
     reload,
     role: "agent",
   };
-  run(settings, source, part)
+  run(settings, source, program)
 }
 
-fn run<M, R, S>(settings: &Settings, source: S, part: Part<M, R>) -> Result<(), Fault>
+fn run<M, R, S>(settings: &Settings, source: S, program: Program<M, R>) -> Result<(), Fault>
 where
   M: Machine + Send + 'static,
   R: Fn() -> Result<Settings, Fault>,
   S: Source,
 {
   logging::start(&settings.log)?;
-  // Signals that come this early count too.
-  let mut process = Process::new(Arc::clone(&part.counter))?;
+  // Handles signals from here on.
+  let mut process = Process::new(Arc::clone(&program.counter))?;
   log::info!(
-    role:% = part.role, address:% = settings.peers, data_centre:% = settings.data_centre,
+    role:% = program.role, address:% = settings.peers, data_centre:% = settings.data_centre,
     first_start = settings.first_start, seeds = settings.seeds.len();
-    "node: process starts."
+    "node: process is starting."
   );
-  let sockets = Sockets::bind(settings.peers, part.packets)?;
+  let sockets = Sockets::bind(settings.peers, program.packets)?;
   let failed = |error: std::io::Error| Fault::new(Code::ChildFailed, error);
   let poll = Poll::new().map_err(failed)?;
   let waker = mio::Waker::new(poll.registry(), MESSAGES).map_err(failed)?;
   let (messages_in, messages) = channel::unbounded();
-  let (questions_in, questions) = mpsc::unbounded_channel();
-  let shared = Arc::new(Shared::new(part.counter, messages_in, questions_in, waker));
-  let carrier = Carrier::new(part.machine, poll, sockets, messages, Arc::clone(&shared))?;
-  start(&mut process, settings, source, &shared, carrier, questions)?;
+  let (pulls_in, pulls) = mpsc::unbounded_channel();
+  let shared = Arc::new(Shared::new(program.counter, messages_in, pulls_in, waker));
+  let packet_loop = PacketLoop::new(
+    program.machine,
+    poll,
+    sockets,
+    messages,
+    Arc::clone(&shared),
+  )?;
+  start(&mut process, settings, source, &shared, packet_loop, pulls)?;
   while process.wait()? == Signal::Reload {
-    reload_settings(settings, &part.reload, &shared);
+    reload_settings(settings, &program.reload, &shared);
   }
-  log::info!(role:% = part.role; "node: process stops as planned.");
+  log::info!(role:% = program.role; "node: process is stopping.");
   shared.stopping.store(true, Ordering::Relaxed);
-  shared.tell(Message::Stop);
-  linger(&part.linger, &shared);
+  shared.send(Message::Stop);
+  linger(&program.linger, &shared);
   let (done, ended) = channel::bounded(1);
-  shared.tell(Message::End(done));
-  if ended.recv_timeout(LAST_WORD).is_err() {
-    log::warn!("node: last word was not sent in time.");
+  shared.send(Message::End(done));
+  if ended.recv_timeout(END_TIMEOUT).is_err() {
+    log::warn!("node: final message was not sent in time.");
   }
   logging::flush();
   Ok(())
 }
 
-/// Goes on until nothing is under way, or for as long as is allowed.
+/// Waits until no request is in flight, or for the maximum time.
 fn linger(linger: &Linger, shared: &Shared) {
-  let end = Instant::now() + linger.most;
-  thread::sleep(linger.least);
+  let end = Instant::now() + linger.max;
+  thread::sleep(linger.min);
   while !shared.quiet.load(Ordering::Relaxed) && Instant::now() < end {
-    thread::sleep(LOOK);
+    thread::sleep(POLL_INTERVAL);
   }
 }
 
-/// Takes from new settings what can change while the process runs.
+/// Applies the reloaded settings that can change while the process runs: the seeds.
 fn reload_settings(
   settings: &Settings,
   reload: &impl Fn() -> Result<Settings, Fault>,
@@ -168,11 +176,11 @@
         seeds: settings.seeds.clone(),
         ..new.clone()
       } == *settings;
-      log::info!(seeds = new.seeds.len(), restart_wanted = !same; "node: settings are read again.");
-      shared.tell(Message::Seeds(new.seeds));
+      log::info!(seeds = new.seeds.len(), restart_required = !same; "node: settings are reloaded.");
+      shared.send(Message::Seeds(new.seeds));
     }
     Err(fault) => {
-      log::warn!(fault:% = fault; "node: settings are not valid and stay as they were.");
+      log::warn!(fault:% = fault; "node: reloaded settings are invalid; keeping the old ones.");
     }
   }
 }
@@ -182,21 +190,21 @@
   settings: &Settings,
   source: S,
   shared: &Arc<Shared>,
-  carrier: Carrier<M>,
-  questions: mpsc::UnboundedReceiver<Question>,
+  packet_loop: PacketLoop<M>,
+  pulls: mpsc::UnboundedReceiver<Pull>,
 ) -> Result<(), Fault> {
-  let carrier = Mutex::new(carrier);
+  let packet_loop = Mutex::new(packet_loop);
   process.tree.start("packets", move |_| {
-    carrier.lock().unwrap_or_else(PoisonError::into_inner).run()
+    packet_loop
+      .lock()
+      .unwrap_or_else(PoisonError::into_inner)
+      .run()
   })?;
   let (settings, shared) = (settings.clone(), Arc::clone(shared));
-  let questions = Mutex::new(Some(questions));
+  let pulls = Mutex::new(Some(pulls));
   process.tree.start("control", move |_| {
-    let questions = questions
-      .lock()
-      .unwrap_or_else(PoisonError::into_inner)
-      .take();
-    let questions = questions.ok_or_else(|| Fault::new(Code::ChildFailed, "started twice"))?;
-    control::run(&settings, &source, &shared, questions)
+    let pulls = pulls.lock().unwrap_or_else(PoisonError::into_inner).take();
+    let pulls = pulls.ok_or_else(|| Fault::new(Code::ChildFailed, "started twice"))?;
+    control::run(&settings, &source, &shared, pulls)
   })
 }
--- a/src/datagram/node/shared.rs
+++ b/src/datagram/node/shared.rs
@@ -15,77 +15,77 @@
   tokio::sync::{mpsc, oneshot, watch},
 };
 
-/// What the control thread tells the carrier.
+/// A message from the control thread to the packet thread.
 #[derive(Debug)]
 pub enum Message {
-  /// Somebody wants to know the state.
+  /// A request for the state.
   Dump(oneshot::Sender<serde_json::Value>),
-  /// The carrier is to end, and to say when its last word is sent.
+  /// Ends the packet loop; answered once the final message is sent.
   End(Sender<()>),
-  /// News from the platform or a peer.
+  /// An update from the platform or a peer.
   News(Origin, News),
-  /// The settings name other seeds.
+  /// The seeds of reloaded settings.
   Seeds(Vec<SocketAddrV4>),
-  /// The process is to stop as planned.
+  /// The process starts a graceful shutdown.
   Stop,
-  /// A peer could not be asked.
+  /// A peer could not be reached to pull an update.
   Unreachable(SocketAddrV4),
 }
 
-/// A question to a peer.
+/// The pull of an update from a peer.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
-  /// The revision up to which all is known.
+pub struct Pull {
+  /// The revision up to which the catalog is complete.
   pub after: Revision,
-  /// Who is asked.
+  /// The peer.
   pub peer: SocketAddrV4,
 }
 
-/// Whether the platform is to be read, and from where on.
+/// Whether the platform is to be read, and from which revision.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Reading {
-  /// The revision up to which all is known; none where nothing is.
+  /// The revision up to which the catalog is complete; none without a configuration.
   pub after: Option<Revision>,
-  /// Whether this process reads.
+  /// Whether this process is to read the platform.
   pub wanted: bool,
 }
 
-/// What the threads of a process share.
+/// The state that the threads of a process share.
 #[derive(Debug)]
 pub struct Shared {
-  /// The catalog as it was last published.
+  /// The catalog as of its latest publication.
   catalog: Mutex<Arc<Catalog>>,
-  /// The counts.
+  /// The counter of errors and other occurrences.
   pub counter: Arc<Counter>,
-  /// What the carrier is told.
+  /// Messages to the packet thread.
   pub messages: Sender<Message>,
-  /// Whether nothing is under way that the end of the process would interrupt.
+  /// Whether no request is in flight that the end of the process would interrupt.
   pub quiet: AtomicBool,
-  /// Whether callers' packets may be sent here.
+  /// Whether a configuration is known, so that callers' packets can be handled.
   pub ready: AtomicBool,
-  /// Questions to peers.
-  pub questions: mpsc::UnboundedSender<Question>,
-  /// What is to be read.
+  /// Pulls from peers.
+  pub pulls: mpsc::UnboundedSender<Pull>,
+  /// What is to be read from the platform.
   pub reading: watch::Sender<Reading>,
   /// Whether the process is stopping.
   pub stopping: AtomicBool,
-  /// Wakes the carrier.
+  /// Wakes the packet thread.
   pub waker: mio::Waker,
 }
 
 impl Shared {
-  /// What the threads of a process that has just started share.
+  /// The shared state of a process that has just started.
   pub fn new(
     counter: Arc<Counter>,
     messages: Sender<Message>,
-    questions: mpsc::UnboundedSender<Question>,
+    pulls: mpsc::UnboundedSender<Pull>,
     waker: mio::Waker,
   ) -> Self {
     Self {
       catalog: Mutex::default(),
       counter,
       messages,
-      questions,
+      pulls,
       quiet: AtomicBool::new(false),
       reading: watch::Sender::default(),
       ready: AtomicBool::new(false),
@@ -99,12 +99,13 @@
     Arc::clone(&self.catalog.lock().unwrap_or_else(PoisonError::into_inner))
   }
 
-  /// Whether callers' packets may be sent here.
+  /// Whether callers' packets can be handled: a configuration is known, and the process isn't
+  /// stopping.
   pub fn is_ready(&self) -> bool {
     self.ready.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
   }
 
-  /// Shows a catalog to the other threads.
+  /// Publishes a catalog to the other threads.
   pub fn publish(&self, catalog: Catalog) {
     self
       .ready
@@ -112,9 +113,9 @@
     *self.catalog.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(catalog);
   }
 
-  /// Tells the carrier something.
-  pub fn tell(&self, message: Message) {
-    // The carrier ends only with the process; a message to it is then of no use.
+  /// Sends a message to the packet thread.
+  pub fn send(&self, message: Message) {
+    // The receiver is gone only while the process ends.
     let _ = self.messages.send(message);
     if let Err(error) = self.waker.wake() {
       log::error!(error:% = error; "control: packet thread cannot be woken.");
--- a/src/datagram/node/source.rs
+++ b/src/datagram/node/source.rs
@@ -3,22 +3,23 @@
   std::{future::Future, time::Duration},
 };
 
-/// Where the configuration and the list of targets are read.
+/// The platform's store, from which the configuration and the target list are read.
 pub trait Source: Clone + Send + Sync + 'static {
-  /// Reads the whole.
+  /// Reads a snapshot. Fails if the platform doesn't answer, or not validly.
   fn read(&self) -> impl Future<Output = Result<News, Fault>> + Send;
 
-  /// Waits for what comes after a revision, for as long as `wait` where nothing comes; none where
-  /// the platform has forgotten what came after it.
+  /// Waits up to `wait` for changes after a revision; none if the platform no longer has the
+  /// history since then. Fails if the platform doesn't answer, or not validly.
   fn watch(
     &self,
     after: Revision,
     wait: Duration,
   ) -> impl Future<Output = Result<Option<News>, Fault>> + Send;
 
-  /// What operators order, and entries of the list, that was read here and cannot be obeyed, by name.
+  /// The names of the operator's orders and list entries that were read here and are ignored as
+  /// invalid.
   fn ignored(&self) -> Vec<String>;
 
-  /// The path where the platform asks whether the process is ready.
+  /// The HTTP path of the platform's readiness check.
   fn readiness_path(&self) -> &'static str;
 }
