--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -242,7 +242,9 @@
   /// Puts a configuration into force; true if it is newer than the one before.
   fn configure(&mut self, now: Instant, configuration: Configuration, revision: Revision) -> bool {
     match &self.configuration {
-      Some((current, before)) if *current >= revision || before.version >= configuration.version => {
+      Some((current, before))
+        if *current >= revision || before.version >= configuration.version =>
+      {
         return false;
       }
       Some((_, before)) => {
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -46,8 +46,11 @@
     })
   });
   let configuration = catalog.configuration();
-  let routes = configuration.into_iter().flat_map(|configuration| &configuration.routes);
-  let matching = routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
+  let routes = configuration
+    .into_iter()
+    .flat_map(|configuration| &configuration.routes);
+  let matching =
+    routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
   let (routes, weights): (Vec<_>, Vec<_>) = matching
     .map(|(address, route)| (address.to_string(), route.backends.weight(name)))
     .unzip();
--- a/tests/datagram/bundle.rs
+++ b/tests/datagram/bundle.rs
@@ -1,4 +1,4 @@
-//! Frames that leave together are one datagram, and arrive as what they were.
+//! Frames that are sent together are packed into one datagram and unpacked again.
 
 use {
   crate::support::{self, flow, peer},
@@ -19,7 +19,7 @@
   sent
 }
 
-/// The flows that frames in a datagram say were found, in order.
+/// The flows of the `Found` frames in a datagram, in order.
 fn found(datagram: &[u8]) -> Vec<Flow> {
   let frames = bundle::frames(datagram).expect("frames");
   let flows = frames.iter().map(|frame| match Frame::decode(frame) {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn frames_to_one_process_leave_as_one_datagram_in_order() {
+fn frames_to_one_process_are_packed_in_order() {
   let mut out = Outbox::default();
   for port in 1..=6 {
     out.frame(peer(port % 2), &support::found(flow(port.into(), 1)), &[]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_frame_alone_stays_as_it_is() {
+fn a_single_frame_is_not_packed() {
   let mut out = Outbox::default();
   out.frame(peer(1), &support::found(flow(1, 1)), &[7; 3000]);
   let expected = out.bytes(&out.datagrams()[0]).to_vec();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_cut_bundle_is_refused() {
+fn truncated_bundles_are_rejected() {
   let mut out = Outbox::default();
   for port in 1..=3 {
     out.frame(peer(1), &support::found(flow(port, 1)), &[]);
@@ -82,7 +82,7 @@
 
 proptest! {
   #[test]
-  fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+  fn unpacking_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
     if let Ok(frames) = bundle::frames(&bytes) {
       for frame in frames {
         let _ = Frame::decode(frame);
--- a/tests/datagram/catalog.rs
+++ b/tests/datagram/catalog.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the platform never steps back.
+//! A catalog never replaces a record with an older one.
 
 use {
   crate::support::{configured, listed, news, unlisted},
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn an_older_configuration_changes_nothing() {
+fn an_older_configuration_is_ignored() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   catalog.offer(now, news(None, 5, &[configured(5, 7, &[(1, "a")])]));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_whole_list_from_the_past_drops_nothing() {
+fn an_older_snapshot_removes_nothing() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_whole_list_drops_what_it_does_not_name() {
+fn a_snapshot_removes_unlisted_targets() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_has_left_is_remembered_for_the_life_of_a_flow() {
+fn tombstones_are_kept_for_the_lifetime_of_a_flow() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_target_that_lapsed_is_back_with_its_next_record() {
+fn a_removed_target_returns_with_its_next_record() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn news_with_a_gap_before_it_does_not_count_as_complete() {
+fn an_update_after_a_gap_does_not_count_as_complete() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
   catalog.offer(now, news(None, 5, &[]));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_came_since_brings_another_catalog_level() {
+fn updates_since_a_revision_bring_another_catalog_up_to_date() {
   let mut first = Catalog::default();
   let mut second = Catalog::default();
   let now = Instant::now();
@@ -95,12 +95,12 @@
 }
 
 #[test]
-fn a_catalog_that_began_with_a_whole_list_tells_others_the_whole() {
+fn a_catalog_that_started_from_a_snapshot_sends_a_snapshot() {
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
   first.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
-  // It left the list before the second process started.
+  // It was removed from the target list before the second process started.
   let mut second = Catalog::default();
   second.offer(now, news(None, 6, &[]));
   first.offer(now, second.since(first.complete()));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_catalog_that_forgot_a_removal_tells_others_the_whole() {
+fn a_catalog_with_an_expired_tombstone_sends_a_snapshot() {
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/closures.rs
@@ -1,4 +1,4 @@
-//! A data centre that is closed gets no new flows, from either end; those that are open go on.
+//! An evacuated data centre gets no new flows, from balancers or agents; open flows are kept.
 
 use {
   crate::{
@@ -21,12 +21,14 @@
   std::time::{Duration, Instant},
 };
 
-/// The data centre of `listed`, and that of `elsewhere`.
-const HERE: &str = "default";
-const THERE: &str = "elsewhere";
+/// The data centre of `listed`.
+const LOCAL: &str = "default";
+
+/// The data centre of `elsewhere`.
+const REMOTE: &str = "elsewhere";
 
 fn is_closed(catalog: &Catalog) -> bool {
-  catalog.closures().is_closed(HERE)
+  catalog.closures().is_closed(LOCAL)
 }
 
 fn offer(catalog: &mut Catalog, news: News) -> bool {
@@ -34,11 +36,11 @@
 }
 
 #[test]
-fn the_last_word_of_a_data_centre_counts_in_whatever_order_words_come() {
-  let words = [
-    closure(5, HERE, true),
-    closure(6, HERE, false),
-    closure(7, HERE, true),
+fn the_latest_record_of_a_data_centre_wins_in_any_order() {
+  let records = [
+    closure(5, LOCAL, true),
+    closure(6, LOCAL, false),
+    closure(7, LOCAL, true),
   ];
   for order in [
     [0, 1, 2],
@@ -50,50 +52,53 @@
   ] {
     let mut catalog = Catalog::default();
     for index in order {
-      offer(&mut catalog, news(Some(4), 7, &words[index..=index]));
+      offer(&mut catalog, news(Some(4), 7, &records[index..=index]));
     }
     assert!(is_closed(&catalog), "{order:?}");
-    offer(&mut catalog, news(Some(7), 8, &[closure(8, HERE, false)]));
-    offer(&mut catalog, news(Some(4), 7, &words));
+    offer(&mut catalog, news(Some(7), 8, &[closure(8, LOCAL, false)]));
+    offer(&mut catalog, news(Some(4), 7, &records));
     assert!(!is_closed(&catalog), "{order:?}");
   }
 }
 
 #[test]
-fn a_whole_list_without_it_opens_a_data_centre_and_an_older_one_does_not() {
+fn a_snapshot_without_it_opens_a_data_centre_unless_it_is_older() {
   let mut catalog = Catalog::default();
   assert!(offer(
     &mut catalog,
-    news(Some(0), 5, &[closure(5, HERE, true)])
+    news(Some(0), 5, &[closure(5, LOCAL, true)])
   ));
   assert!(!offer(&mut catalog, news(None, 4, &[])));
   assert!(is_closed(&catalog));
   assert!(offer(&mut catalog, news(None, 6, &[])));
   assert!(!is_closed(&catalog));
-  // Late news of the closing.
+  // A late record of the evacuation.
   assert!(!offer(
     &mut catalog,
-    news(Some(4), 5, &[closure(5, HERE, true)])
+    news(Some(4), 5, &[closure(5, LOCAL, true)])
   ));
   assert!(!is_closed(&catalog));
 }
 
 #[test]
-fn a_process_that_knows_nothing_is_told_what_is_closed() {
-  let mut teller = Catalog::default();
-  let words = [closure(5, HERE, true), closure(6, THERE, false)];
-  offer(&mut teller, news(Some(0), 6, &words));
-  let mut young = Catalog::default();
-  offer(&mut young, teller.since(Revision::default()));
-  assert!(is_closed(&young));
-  // What was opened while a process was away is told to it.
-  let mut away = Catalog::default();
-  offer(&mut away, news(Some(0), 4, &[closure(4, THERE, true)]));
-  offer(&mut away, teller.since(Revision(4)));
-  assert!(!away.closures().is_closed(THERE));
+fn a_new_process_learns_what_is_closed() {
+  let mut sender = Catalog::default();
+  let records = [closure(5, LOCAL, true), closure(6, REMOTE, false)];
+  offer(&mut sender, news(Some(0), 6, &records));
+  let mut started = Catalog::default();
+  offer(&mut started, sender.since(Revision::default()));
+  assert!(is_closed(&started));
+  // A data centre that was opened while a process was down.
+  let mut restarted = Catalog::default();
+  offer(
+    &mut restarted,
+    news(Some(0), 4, &[closure(4, REMOTE, true)]),
+  );
+  offer(&mut restarted, sender.since(Revision(4)));
+  assert!(!restarted.closures().is_closed(REMOTE));
 }
 
-/// A balancer before two targets of service `a` in its own data centre and one elsewhere.
+/// A balancer with two targets of service `a` in its own data centre and one elsewhere.
 fn with_another() -> Balancer {
   let mut balancer = balancer();
   let records = [elsewhere(5, "up-13", 13, "a")];
@@ -111,29 +116,29 @@
 fn new_flows_go_to_no_target_of_a_closed_data_centre_and_open_ones_stay() {
   let mut balancer = with_another();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  let (place, _) = carried(&sent)[0];
-  balancer.frame(place, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  close(&mut balancer, 5, HERE, true);
+  let (host, _) = carried(&sent)[0];
+  balancer.frame(host, &Frame::Opened(flow(1, 1), Load::default()), &[]);
+  close(&mut balancer, 5, LOCAL, true);
   for port in 2..20 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert_eq!(carried(&sent), [(13, Purpose::Open)]);
     feed_status(&mut balancer, 13, 1, Load::default());
   }
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
-  assert_eq!(carried(&sent), [(place, Purpose::Deliver)]);
-  close(&mut balancer, 6, HERE, false);
+  assert_eq!(carried(&sent), [(host, Purpose::Deliver)]);
+  close(&mut balancer, 6, LOCAL, false);
   let sent = balancer.packet(Packet::open(flow(30, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
 }
 
 #[test]
-fn a_flow_that_waits_goes_to_another_data_centre_once_its_own_is_closed() {
+fn a_queued_flow_goes_to_another_data_centre_once_its_own_is_closed() {
   let mut balancer = with_another();
   for host in [11, 12, 13] {
     feed_status(&mut balancer, host, 1, busy(40));
   }
   assert_eq!(carried(&balancer.packet(Packet::open(flow(1, 1), 0))), []);
-  close(&mut balancer, 5, HERE, true);
+  close(&mut balancer, 5, LOCAL, true);
   feed_status(&mut balancer, 11, 1, Load::default());
   assert_eq!(carried(&balancer.pass(Duration::from_millis(6))), []);
   feed_status(&mut balancer, 13, 1, Load::default());
@@ -142,15 +147,15 @@
 }
 
 #[test]
-fn callers_are_told_at_once_where_all_targets_are_closed() {
+fn flows_are_reset_at_once_if_all_data_centres_are_closed() {
   let mut balancer = with_another();
   for host in [11, 12, 13] {
     feed_status(&mut balancer, host, 1, busy(40));
   }
-  // One waits already, one comes.
+  // One flow is queued before the data centres are closed, one arrives after.
   balancer.packet(Packet::open(flow(1, 1), 0));
-  close(&mut balancer, 5, HERE, true);
-  close(&mut balancer, 6, THERE, true);
+  close(&mut balancer, 5, LOCAL, true);
+  close(&mut balancer, 6, REMOTE, true);
   let sent = balancer.pass(Duration::from_millis(6));
   assert!(is_reset(&sent, flow(1, 1), 0), "{sent:?}");
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
@@ -158,24 +163,24 @@
 }
 
 #[test]
-fn a_balancer_that_has_not_heard_goes_elsewhere_by_the_word_of_an_agent() {
+fn a_balancer_avoids_a_data_centre_that_an_agent_reports_closed() {
   let mut balancer = with_another();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  let (place, _) = carried(&sent)[0];
+  let (host, _) = carried(&sent)[0];
   let refused = Frame::Refused(flow(1, 1), Refusal::Closed, Load::default());
-  let sent = balancer.frame(place, &refused, &[]);
+  let sent = balancer.frame(host, &refused, &[]);
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
-  // The word does not outlast the list's by long.
+  // The agent's refusal expires soon if the platform doesn't confirm it.
   balancer.now += Duration::from_millis(1100);
   feed_status(&mut balancer, 11, 1, Load::default());
   let sent = balancer.packet(Packet::open(flow(3, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
 }
 
-/// A balancer that takes flows from a closed data centre after 1 s, before a target there and one
-/// elsewhere; the platform's last word is so old when the data centre is closed.
+/// A balancer that stops placing flows in an evacuated data centre after 1 s, with a target there
+/// and one elsewhere. When the data centre is closed, the platform's previous update is `age` old.
 fn closing(age: Duration) -> Balancer {
   let mut balancer = Stepped::closing(1, Duration::from_secs(2));
   let records = [
@@ -185,7 +190,7 @@
   ];
   balancer.platform(news(None, 3, &records));
   balancer.pass(age);
-  close(&mut balancer, 3, HERE, true);
+  close(&mut balancer, 3, LOCAL, true);
   for host in [11, 13] {
     feed_status(&mut balancer, host, 1, Load::default());
   }
@@ -193,7 +198,7 @@
 }
 
 #[test]
-fn each_balancer_takes_its_flows_from_a_closed_data_centre_at_its_own_moment() {
+fn a_balancer_stops_placing_flows_at_its_share_of_the_evacuation_time() {
   let mut balancer = closing(Duration::ZERO);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(11, Purpose::Open)]);
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn what_may_be_closed_for_long_is_closed_at_once() {
+fn an_evacuation_that_may_be_old_takes_effect_at_once() {
   let mut balancer = closing(Duration::from_secs(2));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(13, Purpose::Open)]);
@@ -214,7 +219,7 @@
 }
 
 #[test]
-fn an_agent_in_a_closed_data_centre_takes_no_new_flow_and_says_so() {
+fn an_agent_in_a_closed_data_centre_refuses_new_flows() {
   let mut agent = agent();
   carry_to(&mut agent, Purpose::Open, Packet::open(flow(1, 1), 0));
   let answer = Packet {
@@ -224,26 +229,26 @@
   agent.packet(answer);
   let data = Packet::data(flow(1, 1), 2, 101);
   carry_to(&mut agent, Purpose::Deliver, data);
-  agent.platform(news(Some(2), 3, &[closure(3, HERE, true)]));
+  agent.platform(news(Some(2), 3, &[closure(3, LOCAL, true)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(2, 1), 0));
   assert_matches!(
     &sent[..],
     [Sent::Frame(to, Frame::Refused(refused, Refusal::Closed, _), _)]
       if *to == peer(1) && *refused == flow(2, 1)
   );
-  // What is open goes on.
+  // An open flow is still served.
   let data = Packet::data(flow(1, 1), 12, 101);
   let sent = carry_to(&mut agent, Purpose::Deliver, data);
   assert_eq!(sent, [Sent::Upstream(data)]);
-  agent.platform(news(Some(3), 4, &[closure(4, HERE, false)]));
+  agent.platform(news(Some(3), 4, &[closure(4, LOCAL, false)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(3, 1), 0));
   assert_eq!(sent, [Sent::Upstream(Packet::open(flow(3, 1), 0))]);
 }
 
 #[test]
-fn an_agent_in_a_closed_data_centre_grants_no_place() {
+fn an_agent_in_a_closed_data_centre_grants_no_slot() {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[closure(3, HERE, true)]));
+  agent.platform(news(Some(2), 3, &[closure(3, LOCAL, true)]));
   let backlog = Frame::Backlog {
     flows: 9,
     service: digest("a"),
@@ -252,12 +257,12 @@
 }
 
 #[test]
-fn the_reader_passes_on_how_far_it_has_read_where_nothing_is_new() {
+fn an_update_without_changes_is_pushed_too() {
   let mut balancer = balancer();
   let sent = balancer.platform(news(Some(4), 9, &[]));
-  let told = sent.iter().any(|sent| {
+  let pushed = sent.iter().any(|sent| {
     matches!(sent, Sent::Frame(to, Frame::News(news), _)
       if *to == peer(11) && news.to == Revision(9))
   });
-  assert!(told, "{sent:?}");
+  assert!(pushed, "{sent:?}");
 }
--- a/tests/datagram/frame.rs
+++ b/tests/datagram/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read again, and anything else is refused by number.
+//! Encoding of frames: decoding restores them, and rejects anything else.
 
 use {
   crate::support::{configured, flow, found, news},
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_frame_and_its_packet_are_read_again() {
+fn a_frame_and_its_packet_are_decoded() {
   let frame = Frame::Carry {
     complete: Revision(4),
     purpose: Purpose::Test,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn every_cut_of_a_frame_is_refused() {
+fn truncated_frames_are_rejected() {
   let frame = Frame::News(news(Some(4), 5, &[configured(5, 7, &[(1, "a")])]));
   let mut bytes = Vec::new();
   frame.encode(&mut bytes);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn another_version_is_refused() {
+fn another_version_is_rejected() {
   let mut bytes = Vec::new();
   found(flow(1, 1)).encode(&mut bytes);
   bytes[0] ^= 1;
@@ -43,7 +43,7 @@
 
 proptest! {
   #[test]
-  fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+  fn decoding_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
     let _ = Frame::decode(&bytes);
   }
 }
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -1,4 +1,4 @@
-//! What a process tells others of itself grows with its data centre, not with the fleet.
+//! The number of statuses that a process sends grows with its data centre, not with the fleet.
 
 use {
   crate::{
@@ -21,7 +21,7 @@
   },
 };
 
-/// In how many data centres the processes stand.
+/// How many data centres the processes are in.
 const DATA_CENTRES: u32 = 6;
 
 fn address(number: u32) -> SocketAddrV4 {
@@ -61,8 +61,9 @@
   );
 }
 
-/// A balancer that has heard of so many others, and how many it tells of itself in three seconds.
-fn told(balancers: u32) -> usize {
+/// The number of balancers that one, which has heard from so many, sends statuses to within three
+/// seconds.
+fn receivers(balancers: u32) -> usize {
   let mut now = Instant::now();
   let counter = Arc::default();
   let settings = Settings {
@@ -78,8 +79,9 @@
     counter,
   );
   let mut out = Outbox::default();
-  let mut told = BTreeSet::new();
-  // It knows what the others know, so that the platform's word that they have heard counts.
+  let mut receivers = BTreeSet::new();
+  // Its catalog is up to date, so that their confirmations of it count and it doesn't read the
+  // platform.
   let known = Event::News(Origin::Peer(address(1)), news(None, 5, &[]));
   machine.step(now, known, &mut out);
   for step in 0..80 {
@@ -94,29 +96,29 @@
     }
     out.clear();
     machine.step(now, Event::Tick, &mut out);
-    // Each is told once, when it becomes known.
+    // Each is sent one when it becomes known.
     if step >= 20 {
-      told.extend(out.datagrams().iter().map(|datagram| datagram.to));
+      receivers.extend(out.datagrams().iter().map(|datagram| datagram.to));
     }
     now += Duration::from_millis(50);
   }
-  told.len()
+  receivers.len()
 }
 
 #[test]
-fn few_processes_all_tell_each_other() {
-  assert_eq!(told(24), 24);
+fn a_small_fleet_is_a_full_mesh() {
+  assert_eq!(receivers(24), 24);
 }
 
 #[test]
-fn at_the_size_of_a_fleet_and_twice_that_no_more_are_told() {
-  let (once, twice) = (told(304), told(608));
+fn the_number_of_receivers_does_not_grow_with_the_fleet() {
+  let (once, twice) = (receivers(304), receivers(608));
   assert!((10..=60).contains(&once), "{once}");
   assert!((10..=60).contains(&twice), "{twice}");
 }
 
 #[test]
-fn the_word_of_the_platform_reaches_agents_that_do_not_keep_in_touch() {
+fn updates_reach_agents_outside_the_overlay() {
   let mut balancer = Stepped::balancer(1, None);
   for number in 1..=100 {
     let frame = status(number, Role::Balancer);
@@ -140,16 +142,16 @@
   let records = [listed(21, "up-11", 11, "a", Presence::Leaving)];
   let sent = balancer.platform(news(Some(20), 21, &records));
   for host in [11, 12, 13] {
-    let heard = sent.iter().any(|sent| {
+    let pushed = sent.iter().any(|sent| {
       matches!(sent, crate::support::Sent::Frame(to, Frame::News(_), _)
         if *to == crate::support::peer(host))
     });
-    assert!(heard, "{host}");
+    assert!(pushed, "{host}");
   }
 }
 
 #[test]
-fn the_first_start_of_all_is_read_by_its_seeds() {
+fn on_the_first_start_only_the_seeds_read() {
   let now = Instant::now();
   let mut seed = Settings {
     first_start: true,
@@ -167,15 +169,15 @@
   assert!(reads(&seed, Duration::ZERO));
   seed.peers = address(3);
   assert!(!reads(&seed, Duration::from_secs(1)));
-  // Its seeds may be dead.
+  // Its seeds may be down.
   assert!(reads(&seed, Duration::from_secs(6)));
-  // One that is added later is told by others, or reads.
+  // After the first start, a process doesn't wait for its seeds.
   seed.first_start = false;
   assert!(reads(&seed, Duration::ZERO));
 }
 
-/// How long the caller of a flow waits for its reset, in milliseconds, where one agent that may have the
-/// flow says nothing and its target has left the list, and so many other balancers are heard of.
+/// The time until a flow of a removed target is reset, in milliseconds, if one agent that may own
+/// it doesn't answer and the balancer has heard from so many others.
 fn reset_after(balancers: u32) -> u64 {
   let mut balancer = crate::balancing::balancer();
   let up = [listed(5, "up-13", 13, "a", Presence::Live)];
@@ -196,7 +198,7 @@
       });
     }
   }
-  // A peer knows all that left the list.
+  // A peer knows all removals.
   let past = Frame::Past {
     known: true,
     led: vec![],
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn an_agent_that_does_not_keep_in_touch_has_time_to_answer_before_it_counts_as_lost() {
+fn an_agent_outside_the_overlay_has_time_to_answer_before_it_counts_as_down() {
   assert!(reset_after(3) < 500);
   let waits = reset_after(100);
   assert!((1500..4000).contains(&waits), "{waits}");
--- a/tests/datagram/logs.rs
+++ b/tests/datagram/logs.rs
@@ -1,7 +1,7 @@
-//! Logs are bounded: see `platform/tests` for what a process writes.
+//! Buffering of log lines; `platform/tests` covers the limit of what a process writes.
 
 #[test]
-fn lines_are_written_once_they_are_due() {
-  // Without a line nothing is due.
+fn without_buffered_lines_no_flush_is_due() {
+  // No line is buffered, so no flush is due.
   assert_eq!(fallwell::logging::due(), None);
 }
--- a/tests/datagram/main.rs
+++ b/tests/datagram/main.rs
@@ -1,4 +1,5 @@
-//! The machines of datagram services: each alone, and all together in a world without sockets.
+//! Tests of the machines of datagram services: each alone, and all together in a simulation without
+//! sockets.
 
 mod agent;
 mod allowance;
--- a/tests/datagram/plain.rs
+++ b/tests/datagram/plain.rs
@@ -7,39 +7,39 @@
   std::time::Duration,
 };
 
-/// A head as these tests write it, in front of the data.
+/// A packet's header in these tests; its data is left out.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Packet {
-  /// What the other end has said so far; of an opening packet, which copy it is.
+  /// The acknowledgement number; in an opening packet, the number of the attempt.
   pub acknowledges: u32,
-  /// How many bytes of data it stands for.
+  /// The length of the data that it stands for, in bytes.
   pub data: u16,
   /// The flow.
   pub flow: Flow,
-  /// What it does.
+  /// Its kind.
   pub kind: Kind,
-  /// Whether an upstream sent it back.
+  /// Whether an upstream returned it.
   pub returned: bool,
-  /// The sender's count.
+  /// The sequence number.
   pub sequence: u32,
 }
 
-/// What a packet does.
+/// The kind of a packet.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Kind {
-  /// Carries data or acknowledges some.
+  /// Carries data or an acknowledgement.
   Data,
   /// Opens a flow, or answers an opening packet.
   Open,
-  /// Breaks a flow off.
+  /// Resets a flow.
   Reset,
 }
 
 impl Packet {
-  /// A caller's opening packet.
-  pub fn open(flow: Flow, copy: u32) -> Self {
+  /// A caller's opening packet, by the number of the attempt.
+  pub fn open(flow: Flow, attempt: u32) -> Self {
     Self {
-      acknowledges: copy,
+      acknowledges: attempt,
       data: 0,
       flow,
       kind: Kind::Open,
@@ -72,7 +72,7 @@
     }
   }
 
-  /// The packet as an upstream sends it back.
+  /// The packet as an upstream returns it.
   pub fn returned(self) -> Self {
     Self {
       returned: true,
@@ -80,12 +80,12 @@
     }
   }
 
-  /// The bytes.
+  /// Encodes the packet.
   pub fn write(&self) -> Vec<u8> {
     postcard::to_allocvec(self).expect("packet")
   }
 
-  /// What the bytes say.
+  /// Decodes a packet.
   pub fn read(bytes: &[u8]) -> Result<Self, Code> {
     postcard::from_bytes(bytes).map_err(|_| Code::PacketTooShort)
   }
--- a/tests/datagram/rate.rs
+++ b/tests/datagram/rate.rs
@@ -1,9 +1,9 @@
-//! Rates: their text is read again, and what is no rate is refused.
+//! Parsing and display of rates.
 
 use fallwell::datagram::{Rate, RateInvalid};
 
 #[test]
-fn a_rate_is_read_again() {
+fn a_displayed_rate_parses_to_the_same_rate() {
   for megabits in [0.5, 2.0, 20.0, 1000.0] {
     let rate = Rate::megabits(megabits).expect("a rate");
     assert_eq!(rate.to_string().parse(), Ok(rate));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_no_rate_is_refused() {
+fn invalid_rates_are_rejected() {
   for text in [
     "",
     "2",
--- a/tests/datagram/spread.rs
+++ b/tests/datagram/spread.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform, and how the others hear of it.
+//! Which processes read the platform, and how updates reach the others.
 
 use {
   crate::support::{configured, news, peer, settings},
@@ -33,7 +33,7 @@
   }
 }
 
-/// The balancers of three that read at a time, when each hears of the others.
+/// The balancers, of three that have heard from each other, that read the platform.
 fn readers(now: Instant, confirmed_ms: u32) -> Vec<u8> {
   let reads = |host: &u8| {
     let mut spread = spread(now, *host);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_of_all_reads_while_its_word_is_fresh() {
+fn one_balancer_reads_while_its_confirmation_is_fresh() {
   assert_eq!(
     readers(Instant::now() + Duration::from_mins(1), 100).len(),
     1
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn all_read_once_nobody_has_fresh_word() {
+fn all_balancers_read_once_no_confirmation_is_fresh() {
   let now = Instant::now() + Duration::from_mins(1);
   assert_eq!(readers(now, 2500), [1, 2, 3]);
 }
 
 #[test]
-fn a_balancer_that_hears_of_nobody_reads() {
+fn a_balancer_without_peers_reads() {
   let now = Instant::now();
   for host in 1..=3 {
     assert!(spread(now, host).is_reader(now));
@@ -75,21 +75,21 @@
 }
 
 #[test]
-fn a_peer_that_knows_more_is_asked_once() {
+fn an_update_is_requested_from_one_peer_at_a_time() {
   let now = Instant::now();
   let mut spread = spread(now, 1);
   spread.status(now, peer(2), &status(9, None));
   spread.status(now, peer(3), &status(9, None));
   assert_eq!(spread.take_wanted(), Some((peer(2), Revision(0))));
   assert_eq!(spread.take_wanted(), None);
-  // It does not answer: the next one is asked.
+  // It doesn't answer, so the next one is asked.
   spread.unreachable(peer(2));
   spread.status(now, peer(3), &status(9, None));
   assert_eq!(spread.take_wanted(), Some((peer(3), Revision(0))));
 }
 
 #[test]
-fn word_of_a_peer_that_knows_more_does_not_confirm_what_is_known_here() {
+fn a_status_of_a_peer_that_is_ahead_does_not_confirm_the_catalog() {
   let now = Instant::now() + Duration::from_mins(1);
   let mut spread = spread(now, 1);
   spread.status(now, peer(2), &status(9, Some(10)));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn news_of_the_platform_is_pushed_to_peers() {
+fn updates_of_the_platform_are_pushed_to_peers() {
   let now = Instant::now();
   let mut spread = spread(now, 1);
   let mut out = Outbox::default();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn news_too_large_for_a_frame_is_announced() {
+fn an_update_too_large_for_a_frame_is_announced_by_a_status() {
   let now = Instant::now();
   let mut spread = spread(now, 1);
   let mut out = Outbox::default();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_stopping_balancer_reads_no_more() {
+fn a_stopping_balancer_does_not_read() {
   let mut balancer = crate::support::Stepped::balancer(1, None);
   balancer.step(Event::Stop);
   let now = balancer.now;
@@ -136,21 +136,21 @@
 }
 
 #[test]
-fn a_process_of_another_data_centre_is_told_less_often() {
+fn peers_in_other_data_centres_get_fewer_statuses() {
   let now = Instant::now();
   let mut spread = spread(now, 1);
   let near = Status {
     data_centre: own_data_centre(),
     ..status(0, None)
   };
-  let mut told = [0, 0];
+  let mut sent_to = [0, 0];
   for step in 0..20 {
     let now = now + Duration::from_millis(100 * step);
     spread.status(now, peer(2), &near);
     spread.status(now, peer(3), &status(0, None));
     let mut out = Outbox::default();
     spread.tell_now(now, Role::Balancer, &mut out);
-    for (count, host) in told.iter_mut().zip([2, 3]) {
+    for (count, host) in sent_to.iter_mut().zip([2, 3]) {
       *count += out
         .datagrams()
         .iter()
@@ -158,10 +158,10 @@
         .count();
     }
   }
-  assert_eq!(told, [20, 3]);
+  assert_eq!(sent_to, [20, 3]);
 }
 
-/// What a process says of its data centre.
+/// The hash of a process's data centre, as in its status.
 fn own_data_centre() -> u32 {
   let now = Instant::now();
   let mut out = Outbox::default();
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -18,13 +18,13 @@
   },
 };
 
-/// The port where all processes of these tests listen for frames.
+/// The port at which all processes of these tests receive frames.
 pub const PEERS: u16 = 7000;
 
-/// The port of callers' packets.
+/// The port at which balancers receive callers' packets.
 pub const CALLERS: u16 = 4400;
 
-/// The port where upstreams take packets.
+/// The port at which upstreams receive packets.
 pub const UPSTREAM: u16 = 8000;
 
 /// An instance's address for frames.
@@ -59,7 +59,7 @@
   }
 }
 
-/// A configuration whose routes lead to services, by their numbers and names.
+/// A configuration whose routes, given by number, each lead to one service.
 pub fn configuration(version: u64, routes: &[(u8, &str)]) -> Configuration {
   let shares = routes.iter();
   let shares = shares.map(|(number, service)| (*number, vec![(*service, 1)]));
@@ -85,7 +85,7 @@
   }
 }
 
-/// Services by weight.
+/// Backends of services by weight.
 pub fn backends(shares: &[(&str, u32)]) -> Backends {
   let backends = shares.iter().map(|(service, weight)| Backend {
     service: service.parse().expect("a name"),
@@ -114,7 +114,7 @@
   }
 }
 
-/// The record of a configuration one of whose routes goes before the others.
+/// The record of a configuration in which the route `first` has precedence over the others.
 pub fn configured_first(revision: u64, version: u64, routes: &[(u8, &str)], first: u8) -> Record {
   let mut configuration = configuration(version, routes);
   if let Some(route) = configuration.routes.get_mut(&route(first)) {
@@ -126,7 +126,7 @@
   }
 }
 
-/// The record of a configuration that states what cold targets of service `a` may be given.
+/// The record of a configuration with a warm-up of service `a`.
 pub fn configured_cold(
   revision: u64,
   version: u64,
@@ -144,7 +144,7 @@
   }
 }
 
-/// The record of a target on an instance.
+/// The record of a target on the instance `host`.
 pub fn listed(revision: u64, id: &str, host: u8, service: &str, presence: Presence) -> Record {
   Record::Target {
     id: id.parse().expect("a name"),
@@ -161,7 +161,7 @@
   }
 }
 
-/// The record of a target that is cold for so much longer.
+/// The record of a target with `left` of its warm-up.
 pub fn warming(revision: u64, id: &str, host: u8, service: &str, left: Duration) -> Record {
   let mut record = listed(revision, id, host, service, Presence::Live);
   if let Record::Target {
@@ -187,7 +187,7 @@
   record
 }
 
-/// The record of a data centre that is closed to new flows, or opened again.
+/// The record that a data centre is closed to new flows, or opened again.
 pub fn closure(revision: u64, data_centre: &str, closed: bool) -> Record {
   Record::Closure {
     closed,
@@ -196,7 +196,7 @@
   }
 }
 
-/// The record of a target that has left the list.
+/// The record of a target that was removed from the target list.
 pub fn unlisted(revision: u64, id: &str) -> Record {
   Record::Target {
     id: id.parse().expect("a name"),
@@ -205,7 +205,7 @@
   }
 }
 
-/// News of records; the whole where nothing came before.
+/// An update with records; a snapshot without `after`.
 pub fn news(after: Option<u64>, to: u64, records: &[Record]) -> News {
   News {
     after: after.map(Revision),
@@ -214,15 +214,16 @@
   }
 }
 
-/// An agent of service `a` that is stepped by hand.
+/// An agent in a test harness.
 pub type Agent = Stepped<agent::Machine<Plain>>;
 
-/// An agent whose upstream has 4 slots and nothing to do; it knows the list up to revision 2.
+/// An agent of service `a` whose upstream has 4 slots and no requests; its catalog is complete up
+/// to revision 2.
 pub fn agent() -> Agent {
   agent_of(true)
 }
 
-/// The same; `first_start` when it cannot meet older flows.
+/// The same; with `first_start` no older flows can exist.
 pub fn agent_of(first_start: bool) -> Agent {
   let mut agent = Stepped::agent(9, "a", first_start);
   let records = [
@@ -238,7 +239,7 @@
   service.parse::<Service>().expect("a name").digest()
 }
 
-/// The word of an agent of service `a` that it has a flow.
+/// The frame of an agent of service `a` that owns a flow.
 pub fn found(flow: Flow) -> Frame {
   Frame::Found {
     flow,
@@ -246,7 +247,7 @@
   }
 }
 
-/// The word of an agent of service `a` that it cannot say whether it has a flow.
+/// The frame of an agent of service `a` that doesn't know whether it owns a flow.
 pub fn unsure(flow: Flow) -> Frame {
   Frame::Unsure {
     flows: vec![flow],
@@ -254,8 +255,8 @@
   }
 }
 
-/// What comes with a caller's packet to an agent of service `a`, from a balancer that knows the list up
-/// to revision 2.
+/// The frame in front of a caller's packet to an agent of service `a`, from a balancer whose
+/// catalog is complete up to revision 2.
 pub fn carry(purpose: Purpose) -> Frame {
   Frame::Carry {
     complete: Revision(2),
@@ -265,28 +266,28 @@
   }
 }
 
-/// Something sent: a frame with the packet that follows, or a packet.
+/// A datagram that a machine sent: a frame with the packet that follows, or a packet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sent {
   /// To a caller.
   Caller(Packet),
-  /// To a process.
+  /// To a process: its address, the frame and the packet that follows.
   Frame(SocketAddrV4, Frame, Vec<u8>),
   /// To the upstream.
   Upstream(Packet),
 }
 
-/// A machine that is stepped by hand.
+/// A machine whose events and time the test controls.
 pub struct Stepped<M> {
   /// The machine.
   pub machine: M,
-  /// The time.
+  /// The simulated time.
   pub now: Instant,
   out: Outbox,
 }
 
 impl Stepped<balancer::Machine<Plain>> {
-  /// A balancer that has just started, on an instance whose link carries so much.
+  /// A balancer that has just started, on an instance whose link has the rate `link`.
   pub fn balancer(host: u8, link: Option<Rate>) -> Self {
     let now = Instant::now();
     let counter = Arc::new(Counter::default());
@@ -299,7 +300,7 @@
     Self::new(machine, now)
   }
 
-  /// A balancer that takes its flows from a closed data centre after half of such a time.
+  /// A balancer that stops placing flows in an evacuated data centre after half of `closing`.
   pub fn closing(host: u8, closing: Duration) -> Self {
     let now = Instant::now();
     let counter = Arc::new(Counter::default());
@@ -313,7 +314,7 @@
 }
 
 impl Stepped<agent::Machine<Plain>> {
-  /// An agent beside an upstream of a service; `first_start` when it cannot meet older flows.
+  /// An agent of an upstream of `service`; with `first_start` no older flows can exist.
   pub fn agent(host: u8, service: &str, first_start: bool) -> Self {
     let now = Instant::now();
     let counter = Arc::new(Counter::default());
@@ -321,13 +322,13 @@
       first_start,
       ..settings(host)
     };
-    let beside = Upstream {
+    let upstream = Upstream {
       address: upstream(host),
       outbound: SocketAddrV4::new(*peer(host).ip(), UPSTREAM + 1),
       service: service.parse::<Service>().expect("a name"),
     };
     let tuning = Tuning::default();
-    let machine = agent::Machine::new(now, &settings, beside, tuning, Plain, 1, counter);
+    let machine = agent::Machine::new(now, &settings, upstream, tuning, Plain, 1, counter);
     Self::new(machine, now)
   }
 }
@@ -341,19 +342,19 @@
     }
   }
 
-  /// Feeds an event.
+  /// Passes an event to the machine; returns what it sends.
   pub fn step(&mut self, event: Event) -> Vec<Sent> {
     self.out.clear();
     self.machine.step(self.now, event, &mut self.out);
     read(&self.out)
   }
 
-  /// Feeds a packet.
+  /// Passes a packet.
   pub fn packet(&mut self, packet: Packet) -> Vec<Sent> {
     self.step(Event::Packet(&mut packet.write()))
   }
 
-  /// Feeds a frame from an instance and the packet that follows.
+  /// Passes a frame from the instance `from`, and the packet that follows.
   pub fn frame(&mut self, from: u8, frame: &Frame, packet: &[u8]) -> Vec<Sent> {
     let mut bytes = Vec::new();
     frame.encode(&mut bytes);
@@ -364,7 +365,7 @@
     })
   }
 
-  /// Feeds a frame from an instance; how many statuses that instance is sent.
+  /// Passes a frame from the instance `from`; returns how many statuses that instance is sent.
   pub fn statuses(&mut self, from: u8, frame: &Frame) -> usize {
     self.frame(from, frame, &[]);
     let datagrams = self.out.datagrams().iter();
@@ -374,19 +375,19 @@
     statuses.count()
   }
 
-  /// Feeds news of the platform.
+  /// Passes an update from the platform.
   pub fn platform(&mut self, news: News) -> Vec<Sent> {
     self.step(Event::News(Origin::Platform, news))
   }
 
-  /// Lets time pass and tells the machine.
+  /// Advances the time and passes a tick.
   pub fn pass(&mut self, time: Duration) -> Vec<Sent> {
     self.now += time;
     self.step(Event::Tick)
   }
 }
 
-/// What an outbox holds, without statuses.
+/// The datagrams in an outbox, without statuses.
 pub fn read(out: &Outbox) -> Vec<Sent> {
   let datagrams = out.datagrams().iter();
   let sent = datagrams.map(|datagram| {
