--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -62,7 +62,7 @@
         Ok(())
       }
       Event::Unreachable(peer) => {
-        self.spread().unreachable(peer);
+        self.spread().cancel_pull(peer);
         Ok(())
       }
     };
@@ -102,8 +102,8 @@
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code>;
 
   /// Adds the seeds of reloaded settings.
-  fn reseed(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
-    self.spread().reseed(now, seeds);
+  fn add_seeds(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
+    self.spread().add_seeds(now, seeds);
   }
 
   /// The gossip state: the catalog, the peers and what is to be read.
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -116,9 +116,13 @@
     let mut waiting = [true, true];
     loop {
       let now = Instant::now();
-      let idle = waiting == [false, false];
-      let wait = if idle { self.wait(now) } else { Duration::ZERO };
-      if idle || self.machine.deadline() <= now {
+      let drained = waiting == [false, false];
+      let wait = if drained {
+        self.wait(now)
+      } else {
+        Duration::ZERO
+      };
+      if drained || self.machine.deadline() <= now {
         match self.poll.poll(&mut events, Some(wait)) {
           Err(error) if error.kind() != ErrorKind::Interrupted => {
             return Err(Fault::new(Code::ChildFailed, error));
@@ -272,7 +276,7 @@
         }
         Message::News(origin, news) => Event::News(origin, news),
         Message::Seeds(seeds) => {
-          self.machine.reseed(now, &seeds);
+          self.machine.add_seeds(now, &seeds);
           continue;
         }
         Message::Stop => Event::Stop,
--- a/src/datagram/spread.rs
+++ b/src/datagram/spread.rs
@@ -146,10 +146,10 @@
   /// The balancers that may be alive: heard from within the peer timeout, or known for less than
   /// that and not heard from yet.
   pub fn present(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
-    let silent = self.tuning.silent;
+    let timeout = self.tuning.silent;
     let present = move |peer: &Peer| {
       let last = peer.heard.unwrap_or(peer.since);
-      peer.balancer && now.saturating_duration_since(last) < silent
+      peer.balancer && now.saturating_duration_since(last) < timeout
     };
     let peers = self.peers.iter();
     let peers = peers.filter(move |(_, peer)| present(peer));
@@ -203,7 +203,7 @@
   pub fn is_behind(&mut self, now: Instant, peer: SocketAddrV4, complete: Revision) -> bool {
     let behind = complete > self.catalog.complete();
     if behind {
-      self.want(now, peer, complete);
+      self.request_update(now, peer, complete);
     }
     behind
   }
@@ -235,7 +235,7 @@
       );
     }
     if let (true, Origin::Peer(from)) = (missing, origin) {
-      self.want(now, from, to);
+      self.request_update(now, from, to);
     }
     // Pushed even if it changes nothing: receivers learn that the catalog is complete up to here
     // and don't request an update.
@@ -259,10 +259,10 @@
 
   /// Imports the former backends that a peer knows of.
   pub fn remember(&mut self, now: Instant, led: &[Led]) {
-    for led in led {
-      let at = now.checked_sub(Duration::from_millis(led.age_ms.into()));
+    for backend in led {
+      let at = now.checked_sub(Duration::from_millis(backend.age_ms.into()));
       let at = at.unwrap_or(now);
-      self.catalog.remember(at, led.address, &led.service);
+      self.catalog.remember(at, backend.address, &backend.service);
     }
   }
 
@@ -334,7 +334,7 @@
   }
 
   /// Adds the seeds of reloaded settings.
-  pub fn reseed(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
+  pub fn add_seeds(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
     for seed in seeds.iter().filter(|seed| **seed != self.address) {
       self
         .peers
@@ -350,7 +350,7 @@
   }
 
   /// Ends the pull from a peer that could not be reached.
-  pub fn unreachable(&mut self, from: SocketAddrV4) {
+  pub fn cancel_pull(&mut self, from: SocketAddrV4) {
     if self.pull.is_some_and(|(peer, _)| peer == from) {
       self.pull = None;
     }
@@ -391,7 +391,7 @@
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
   }
 
-  fn want(&mut self, now: Instant, from: SocketAddrV4, revision: Revision) {
+  fn request_update(&mut self, now: Instant, from: SocketAddrV4, revision: Revision) {
     let busy = self
       .pull
       .is_some_and(|(_, since)| now.saturating_duration_since(since) < PULL_TIMEOUT);
--- a/src/datagram/spread/telling.rs
+++ b/src/datagram/spread/telling.rs
@@ -65,8 +65,8 @@
     for (address, peer) in &mut self.peers {
       let since = |at: Instant| now.saturating_duration_since(at);
       let unresponsive = peer.heard.is_none_or(|heard| since(heard) >= tuning.silent);
-      let near = peer.data_centre == Some(self.data_centre);
-      let interval = match (unresponsive, near) {
+      let local = peer.data_centre == Some(self.data_centre);
+      let interval = match (unresponsive, local) {
         (true, _) => RETRY_INTERVAL,
         (false, true) => Duration::ZERO,
         (false, false) => tuning.far,
@@ -82,7 +82,7 @@
         recent
       };
       let unknown = peer.data_centre.is_none() && since(peer.since) < INTRODUCE_FOR;
-      if !all && !near && !linked && !unknown && peer.last_sent.is_some() {
+      if !all && !local && !linked && !unknown && peer.last_sent.is_some() {
         continue;
       }
       peer.last_sent = Some(now);
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/closures.rs
@@ -31,7 +31,7 @@
   catalog.closures().is_closed(LOCAL)
 }
 
-fn offer(catalog: &mut Catalog, news: News) -> bool {
+fn apply(catalog: &mut Catalog, news: News) -> bool {
   catalog.offer(Instant::now(), news).closures
 }
 
@@ -52,11 +52,11 @@
   ] {
     let mut catalog = Catalog::default();
     for index in order {
-      offer(&mut catalog, news(Some(4), 7, &records[index..=index]));
+      apply(&mut catalog, news(Some(4), 7, &records[index..=index]));
     }
     assert!(is_closed(&catalog), "{order:?}");
-    offer(&mut catalog, news(Some(7), 8, &[closure(8, LOCAL, false)]));
-    offer(&mut catalog, news(Some(4), 7, &records));
+    apply(&mut catalog, news(Some(7), 8, &[closure(8, LOCAL, false)]));
+    apply(&mut catalog, news(Some(4), 7, &records));
     assert!(!is_closed(&catalog), "{order:?}");
   }
 }
@@ -64,16 +64,16 @@
 #[test]
 fn a_snapshot_without_it_opens_a_data_centre_unless_it_is_older() {
   let mut catalog = Catalog::default();
-  assert!(offer(
+  assert!(apply(
     &mut catalog,
     news(Some(0), 5, &[closure(5, LOCAL, true)])
   ));
-  assert!(!offer(&mut catalog, news(None, 4, &[])));
+  assert!(!apply(&mut catalog, news(None, 4, &[])));
   assert!(is_closed(&catalog));
-  assert!(offer(&mut catalog, news(None, 6, &[])));
+  assert!(apply(&mut catalog, news(None, 6, &[])));
   assert!(!is_closed(&catalog));
   // A late record of the evacuation.
-  assert!(!offer(
+  assert!(!apply(
     &mut catalog,
     news(Some(4), 5, &[closure(5, LOCAL, true)])
   ));
@@ -84,17 +84,17 @@
 fn a_new_process_learns_what_is_closed() {
   let mut sender = Catalog::default();
   let records = [closure(5, LOCAL, true), closure(6, REMOTE, false)];
-  offer(&mut sender, news(Some(0), 6, &records));
+  apply(&mut sender, news(Some(0), 6, &records));
   let mut started = Catalog::default();
-  offer(&mut started, sender.since(Revision::default()));
+  apply(&mut started, sender.since(Revision::default()));
   assert!(is_closed(&started));
   // A data centre that was opened while a process was down.
   let mut restarted = Catalog::default();
-  offer(
+  apply(
     &mut restarted,
     news(Some(0), 4, &[closure(4, REMOTE, true)]),
   );
-  offer(&mut restarted, sender.since(Revision(4)));
+  apply(&mut restarted, sender.since(Revision(4)));
   assert!(!restarted.closures().is_closed(REMOTE));
 }
 
--- a/tests/datagram/spread.rs
+++ b/tests/datagram/spread.rs
@@ -83,7 +83,7 @@
   assert_eq!(spread.take_wanted(), Some((peer(2), Revision(0))));
   assert_eq!(spread.take_wanted(), None);
   // It doesn't answer, so the next one is asked.
-  spread.unreachable(peer(2));
+  spread.cancel_pull(peer(2));
   spread.status(now, peer(3), &status(9, None));
   assert_eq!(spread.take_wanted(), Some((peer(3), Revision(0))));
 }
@@ -139,14 +139,14 @@
 fn peers_in_other_data_centres_get_fewer_statuses() {
   let now = Instant::now();
   let mut spread = spread(now, 1);
-  let near = Status {
+  let local = Status {
     data_centre: own_data_centre(),
     ..status(0, None)
   };
   let mut sent_to = [0, 0];
   for step in 0..20 {
     let now = now + Duration::from_millis(100 * step);
-    spread.status(now, peer(2), &near);
+    spread.status(now, peer(2), &local);
     spread.status(now, peer(3), &status(0, None));
     let mut out = Outbox::default();
     spread.tell_now(now, Role::Balancer, &mut out);
