--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -55,7 +55,7 @@
   record::{Amendment, News, Record},
   service::Service,
   settings::{Settings, Tuning, Upstream},
-  spread::{Agents, Spread},
+  spread::{Agents, Gossip},
   target::Target,
   warmup::Warmup,
 };
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -10,8 +10,8 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Change, Codec, Flow, Frame, Handover, Head, Load, News, Origin, Outbox, Patience, Settings,
-      Spread, Tuning, Upstream, Version, event,
+      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, News, Origin, Outbox, Patience,
+      Settings, Tuning, Upstream, Version, event,
       frame::{Purpose, Role},
       target::Born,
     },
@@ -87,7 +87,7 @@
   pub(super) slots: Option<u16>,
   /// Whether the process is shutting down.
   pub(super) stopping: bool,
-  pub(super) spread: Spread,
+  pub(super) spread: Gossip,
   /// Flow tests by their deadlines, the earliest first; some may have ended before.
   pub(super) tests: VecDeque<(Instant, Flow)>,
   pub(super) tuning: Tuning,
@@ -106,7 +106,7 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Spread::new(now, settings, false, incarnation, tuning);
+    let spread = Gossip::new(now, settings, false, incarnation, tuning);
     let recovering = if settings.first_start {
       Duration::ZERO
     } else {
@@ -419,7 +419,7 @@
     taken
   }
 
-  fn spread(&mut self) -> &mut Spread {
+  fn spread(&mut self) -> &mut Gossip {
     &mut self.spread
   }
 
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -15,7 +15,7 @@
     Code,
     counter::Counter,
     datagram::{
-      Codec, Flow, Handover, News, Origin, Outbox, Patience, Service, Settings, Spread, Tuning,
+      Codec, Flow, Gossip, Handover, News, Origin, Outbox, Patience, Service, Settings, Tuning,
       event, frame::Role,
     },
   },
@@ -75,7 +75,7 @@
   /// When searches that are not answered time out.
   pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) searches: HashMap<Flow, Search>,
-  pub(super) spread: Spread,
+  pub(super) spread: Gossip,
   /// Until when opening packets may be older than they seem, after a stall of this process.
   pub(super) stale_until: Instant,
   pub(super) targets: Targets,
@@ -93,7 +93,7 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Spread::new(now, settings, true, incarnation, tuning);
+    let spread = Gossip::new(now, settings, true, incarnation, tuning);
     Self {
       announced: Announced::default(),
       buffered_bytes: 0,
@@ -282,7 +282,7 @@
     result
   }
 
-  fn spread(&mut self) -> &mut Spread {
+  fn spread(&mut self) -> &mut Gossip {
     &mut self.spread
   }
 
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -1,5 +1,5 @@
 use {
-  super::{News, Outbox, Spread},
+  super::{Gossip, News, Outbox},
   crate::{Code, counter::Counter},
   std::{net::SocketAddrV4, time::Instant},
 };
@@ -107,7 +107,7 @@
   }
 
   /// The gossip state: the catalog, the peers and what is to be read.
-  fn spread(&mut self) -> &mut Spread;
+  fn spread(&mut self) -> &mut Gossip;
 
   /// The process starts a graceful shutdown.
   fn stop(&mut self, now: Instant, out: &mut Outbox);
--- a/src/datagram/spread.rs
+++ b/src/datagram/spread.rs
@@ -47,7 +47,7 @@
 /// updates to all peers. Each status carries the sender's revision, so a process that missed an
 /// update notices and pulls it from the sender.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Gossip {
   address: SocketAddrV4,
   catalog: Catalog,
   /// The time over which balancers, one after another, stop placing flows in an evacuated data
@@ -84,7 +84,7 @@
   wanted: Option<(SocketAddrV4, Revision)>,
 }
 
-impl Spread {
+impl Gossip {
   /// Creates the gossip state; `balancer` is the role of this process, and `incarnation` tells this
   /// start of it from earlier ones.
   pub fn new(
--- a/src/datagram/spread/reading.rs
+++ b/src/datagram/spread/reading.rs
@@ -1,7 +1,7 @@
 //! Selects the processes that read the platform.
 
 use {
-  super::Spread,
+  super::Gossip,
   crate::datagram::Settings,
   std::{
     cmp::Reverse,
@@ -15,7 +15,7 @@
 /// time.
 const FIRST_START: Duration = Duration::from_secs(5);
 
-impl Spread {
+impl Gossip {
   /// Whether this process is to read the platform. The readers are the live balancers with the
   /// lowest rank; any other balancer reads too once its catalog has not been confirmed for the
   /// takeover time. A reader pushes to all others, hence the widest links rank first.
--- a/src/datagram/spread/telling.rs
+++ b/src/datagram/spread/telling.rs
@@ -1,7 +1,7 @@
 //! Statuses and updates that are sent to other processes.
 
 use {
-  super::{Agents, Spread},
+  super::{Agents, Gossip},
   crate::{
     Revision,
     datagram::{
@@ -30,7 +30,7 @@
 /// lost.
 const INTRODUCE_FOR: Duration = Duration::from_secs(3);
 
-impl Spread {
+impl Gossip {
   /// Sends the statuses that are due: to the balancers and to `agents`. `role` describes this
   /// process.
   pub fn tick(&mut self, now: Instant, role: Role, agents: &Agents, out: &mut Outbox) {
--- a/tests/datagram/spread.rs
+++ b/tests/datagram/spread.rs
@@ -5,19 +5,19 @@
   fallwell::{
     Revision,
     datagram::{
-      Event, Frame, Machine, Origin, Outbox, Settings, Spread, Tuning, Version,
+      Event, Frame, Gossip, Machine, Origin, Outbox, Settings, Tuning, Version,
       frame::{Role, Status},
     },
   },
   std::time::{Duration, Instant},
 };
 
-fn spread(now: Instant, host: u8) -> Spread {
+fn spread(now: Instant, host: u8) -> Gossip {
   let settings = Settings {
     seeds: (1..=3).map(peer).collect(),
     ..settings(host)
   };
-  Spread::new(now, &settings, true, 1, Tuning::default())
+  Gossip::new(now, &settings, true, 1, Tuning::default())
 }
 
 fn status(complete: u64, confirmed_ms: Option<u32>) -> Status {
@@ -70,7 +70,7 @@
 #[test]
 fn an_agent_never_reads() {
   let now = Instant::now();
-  let spread = Spread::new(now, &settings(1), false, 1, Tuning::default());
+  let spread = Gossip::new(now, &settings(1), false, 1, Tuning::default());
   assert!(!spread.is_reader(now));
 }
 
