--- a/src/control.rs
+++ b/src/control.rs
@@ -56,7 +56,7 @@
     tokio::select! {
       result = Server::run(Arc::clone(node)) => result,
       result = api::serve(settings.api, Arc::clone(node)) => result,
-      () = spread(settings, node) => Ok(()),
+      () = gossip(settings, node) => Ok(()),
       () = read(settings, node) => Ok(()),
       () = stop.wait() => Ok(()),
     }
@@ -64,7 +64,7 @@
 }
 
 /// Sends digests, or a follower's questions, at once when a frame has shown news.
-async fn spread(settings: &Settings, node: &Arc<Node>) {
+async fn gossip(settings: &Settings, node: &Arc<Node>) {
   join(settings, node).await;
   let mut next = Instant::now();
   loop {
--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -19,6 +19,7 @@
 mod former;
 /// The messages that processes exchange as datagrams.
 pub mod frame;
+mod gossip;
 /// Transfer of a stopping agent's flow table to its next incarnation.
 pub mod handover;
 mod head;
@@ -31,7 +32,6 @@
 /// Names of services, and their digests.
 pub mod service;
 mod settings;
-mod spread;
 /// Targets as the platform lists them.
 pub mod target;
 mod warmup;
@@ -46,6 +46,7 @@
   flow::{Flow, FlowInvalid},
   former::Former,
   frame::Frame,
+  gossip::{Agents, Gossip},
   handover::Handover,
   head::Head,
   load::Load,
@@ -55,7 +56,6 @@
   record::{Amendment, News, Record},
   service::Service,
   settings::{Settings, Tuning, Upstream},
-  spread::{Agents, Gossip},
   target::Target,
   warmup::Warmup,
 };
--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -60,7 +60,7 @@
 
   /// The operator's limit for a warm-up, if any; the default until the configuration has come.
   pub(super) fn warmup(&self) -> Option<Warmup> {
-    let catalog = self.spread.catalog();
+    let catalog = self.gossip.catalog();
     match catalog.configuration() {
       None => Some(cold::DEFAULT_WARMUP),
       Some(_) => catalog.warmup(&self.upstream.service),
@@ -69,27 +69,27 @@
 
   /// Limits new flows as during a warm-up, since the upstream may have restarted unnoticed.
   pub(super) fn suspect_restart(&mut self, now: Instant) {
-    let known = self.spread.catalog().complete();
+    let known = self.gossip.catalog().complete();
     self.cold.suspect_restart(now, known);
   }
 
   /// Takes from the catalog whether the data centre is closed and how much of the warm-up is left.
   pub(super) fn update_admission(&mut self, now: Instant) {
-    let closures = self.spread.catalog().closures();
+    let closures = self.gossip.catalog().closures();
     let closed = closures.is_closed(&self.data_centre);
     if closed != self.closed_from.is_some() {
       log::info!(
         data_centre:% = self.data_centre, closed = closed;
         "agent: data centre was closed or opened to new flows."
       );
-      let delay = self.spread.closing_left().mul_f64(CLOSE_DELAY_FACTOR);
+      let delay = self.gossip.closing_left().mul_f64(CLOSE_DELAY_FACTOR);
       self.closed_from = closed.then_some(now + delay);
     }
     if let Some(opened) = closures.opened(&self.data_centre) {
       self.cold.suspect_reopened(now, opened);
     }
     // A tombstone says nothing of the upstream's next incarnation.
-    let entry = self.spread.catalog().at(self.upstream.address);
+    let entry = self.gossip.catalog().at(self.upstream.address);
     if let Some((_, entry)) = entry.filter(|(_, entry)| entry.gone.is_none()) {
       self
         .cold
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -32,7 +32,7 @@
     service: Digest,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.spread.heard(now, packet.balancer, true);
+    self.gossip.heard(now, packet.balancer, true);
     if service != self.upstream.service.digest() {
       self.refuse(now, packet, Refusal::Service, out);
       return Err(Code::FrameWrongService);
@@ -50,7 +50,7 @@
   pub(super) fn open(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let version = packet.version;
     let flow = packet.head.flow;
-    let catalog = self.spread.catalog();
+    let catalog = self.gossip.catalog();
     let route = catalog.route(&flow.route);
     let takes = route.is_some_and(|route| route.backends.takes(&self.upstream.service));
     if catalog.version() > version && !takes {
@@ -163,7 +163,7 @@
     complete: Revision,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.spread.heard(now, from, true);
+    self.gossip.heard(now, from, true);
     if !services.contains(&self.upstream.service.digest()) {
       let known = self.known_targets(now, complete);
       let flows = flows.iter().map(|(flow, _)| *flow).collect();
@@ -277,7 +277,7 @@
       let load = self.load(now);
       log::info!(
         flow:% = flow, reason:? = refusal, work = load.work, service_ms = load.service_ms,
-        slots = self.slots(), complete:% = self.spread.catalog().complete();
+        slots = self.slots(), complete:% = self.gossip.catalog().complete();
         "agent: refused to open a flow."
       );
       let frame = Frame::Refused(flow, refusal, load);
@@ -291,7 +291,7 @@
   /// The agent applies the limit of routes with priority to all routes; balancers apply a stricter
   /// one to routes without.
   pub(super) fn would_miss_objective(&self, flow: &Flow) -> bool {
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       return false;
     };
     let objective_ms = route.objective.as_secs_f64() * 1000.0;
@@ -303,8 +303,8 @@
   /// the asker needs no later list to conclude that a flow is lost, even while the list keeps
   /// changing.
   pub(super) fn known_targets(&self, now: Instant, asker: Revision) -> Known {
-    let complete = self.spread.catalog().complete();
-    let entries = self.spread.catalog().entries();
+    let complete = self.gossip.catalog().complete();
+    let entries = self.gossip.catalog().entries();
     let past = entries.filter_map(|(_, entry)| {
       let age = match entry.gone {
         Some(gone) => now.saturating_duration_since(gone),
--- a/src/datagram/agent/fan_out.rs
+++ b/src/datagram/agent/fan_out.rs
@@ -25,7 +25,7 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     for (agent, service) in agents {
-      if *agent == self.spread.address() {
+      if *agent == self.gossip.address() {
         self.take_caller_packet(now, packet, *service, out)?;
         continue;
       }
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -87,7 +87,7 @@
   pub(super) slots: Option<u16>,
   /// Whether the process is shutting down.
   pub(super) stopping: bool,
-  pub(super) spread: Gossip,
+  pub(super) gossip: Gossip,
   /// Flow tests by their deadlines, the earliest first; some may have ended before.
   pub(super) tests: VecDeque<(Instant, Flow)>,
   pub(super) tuning: Tuning,
@@ -106,7 +106,7 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Gossip::new(now, settings, false, incarnation, tuning);
+    let gossip = Gossip::new(now, settings, false, incarnation, tuning);
     let recovering = if settings.first_start {
       Duration::ZERO
     } else {
@@ -133,7 +133,7 @@
       reported_load: Load::default(),
       slots: None,
       stopping: false,
-      spread,
+      gossip,
       tests: VecDeque::new(),
       tuning,
       upstream,
@@ -154,10 +154,10 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let (frame, packet) = Frame::decode(bytes)?;
-    if self.spread.is_new(from) {
+    if self.gossip.is_new(from) {
       // A balancer may buffer packets until it knows that this incarnation has started.
       let load = self.load(now);
-      self.spread.greet(now, Role::Agent(load), from, out);
+      self.gossip.greet(now, Role::Agent(load), from, out);
     }
     match frame {
       Frame::Ask {
@@ -205,7 +205,7 @@
         Ok(())
       }
       Frame::Status(status) => {
-        self.spread.status(now, from, &status);
+        self.gossip.status(now, from, &status);
         Ok(())
       }
       _ => Err(Code::FrameWrongTarget),
@@ -233,11 +233,11 @@
 
   /// Applies an update of the platform's records.
   pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    let first = self.spread.catalog().complete() == Revision::default();
-    let change = self.spread.news(now, origin, news, out);
+    let first = self.gossip.catalog().complete() == Revision::default();
+    let change = self.gossip.news(now, origin, news, out);
     if first {
       // The first target list may have been written before a suspected restart.
-      self.cold.extend_suspicion(self.spread.catalog().complete());
+      self.cold.extend_suspicion(self.gossip.catalog().complete());
     }
     self.apply_change(now, &change);
   }
@@ -249,7 +249,7 @@
       return;
     }
     self.update_admission(now);
-    let Some((id, entry)) = self.spread.catalog().at(self.upstream.address) else {
+    let Some((id, entry)) = self.gossip.catalog().at(self.upstream.address) else {
       return;
     };
     self.slots = Some(entry.target.slots.max(1));
@@ -314,16 +314,16 @@
     let before = self.reported_load;
     let changed =
       load.work != before.work || load.down != before.down || load.is_full(0) != before.is_full(0);
-    if now >= self.spread.deadline() || (changed && now >= self.last_report + self.tuning.report) {
+    if now >= self.gossip.deadline() || (changed && now >= self.last_report + self.tuning.report) {
       self.last_report = now;
       self.reported_load = load;
-      self.spread.tell_now(now, role, out);
+      self.gossip.tell_now(now, role, out);
     }
   }
 
   /// Removes flows that were idle for too long, and stops counting requests that are overdue.
   pub(super) fn expire(&mut self, now: Instant) {
-    let idle = self.spread.idle();
+    let idle = self.gossip.idle();
     let work = &mut self.work;
     self.flows.retain(|_, entry| {
       let idle_for = now.saturating_duration_since(entry.last_packet);
@@ -342,7 +342,7 @@
       }
       idle_for < ttl
     });
-    self.spread.expire(now);
+    self.gossip.expire(now);
   }
 
   /// Whether the number of requests in flight, or whether the upstream has room for new flows, has
@@ -363,7 +363,7 @@
     let test = self.tests.front().map(|(deadline, _)| *deadline);
     let grant = self.grants.deadline();
     let request = self.awaiting_request.first().map(|(deadline, _)| *deadline);
-    let status = self.spread.deadline();
+    let status = self.gossip.deadline();
     let report = (self.load_changed()).then_some(self.last_report + self.tuning.report);
     let room = self.cold.deadline(self.last_run, self.warmup());
     [grant, report, request, room, test]
@@ -382,7 +382,7 @@
       "leaving": self.leaving,
       "load": self.load(now),
       "slots": self.slots,
-      "spread": self.spread.dump(now),
+      "spread": self.gossip.dump(now),
       "upstream": self.upstream,
     })
   }
@@ -419,8 +419,8 @@
     taken
   }
 
-  fn spread(&mut self) -> &mut Gossip {
-    &mut self.spread
+  fn gossip(&mut self) -> &mut Gossip {
+    &mut self.gossip
   }
 
   fn stop(&mut self, now: Instant, _: &mut Outbox) {
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -47,7 +47,7 @@
 
   /// Begins a graceful shutdown: new flows are refused, known flows are served until the end.
   pub(super) fn begin_shutdown(&mut self, now: Instant) {
-    self.spread.stop(now);
+    self.gossip.stop(now);
     self.leaving = true;
     self.stopping = true;
   }
@@ -61,8 +61,8 @@
     let handover = Handover::new(records.collect());
     let is_tested = |entry: &FlowEntry| matches!(entry.state, FlowState::Tested { .. });
     let whole = now >= self.recovering_until && !self.flows.values().any(is_tested);
-    let mut balancers = BTreeSet::from_iter(self.spread.balancers(now));
-    if !self.spread.knows_all() {
+    let mut balancers = BTreeSet::from_iter(self.gossip.balancers(now));
+    if !self.gossip.knows_all() {
       // Balancers that exchange no heartbeats with this agent, but forward packets to it.
       balancers.extend(self.flows.values().filter_map(|entry| entry.balancer));
     }
--- a/src/datagram/balancer/ending.rs
+++ b/src/datagram/balancer/ending.rs
@@ -59,7 +59,7 @@
   ) {
     self.counter.count(Code::FlowUnknown);
     let place = Place {
-      agent: self.spread.address(),
+      agent: self.gossip.address(),
       last_packet: now,
       service: NO_SERVICE,
       state: State::Dead,
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -51,7 +51,7 @@
         past,
       } => {
         self.targets.remember(now, &past);
-        self.spread.remember(now, &led);
+        self.gossip.remember(now, &led);
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
@@ -73,7 +73,7 @@
     status: &Status,
     out: &mut Outbox,
   ) {
-    self.spread.status(now, from, status);
+    self.gossip.status(now, from, status);
     let Role::Agent(load) = status.role else {
       self.request_history(now, from, out);
       return;
@@ -89,19 +89,19 @@
   }
 
   pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    let change = self.spread.news(now, origin, news, out);
+    let change = self.gossip.news(now, origin, news, out);
     self.apply_change(now, &change);
     self.conclude_denied(now, out);
   }
 
   pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
     if change.closures {
-      let listed = self.spread.catalog().closures();
-      let from = now + self.spread.closing_left().mul_f64(self.evacuation_fraction);
+      let listed = self.gossip.catalog().closures();
+      let from = now + self.gossip.closing_left().mul_f64(self.evacuation_fraction);
       self.targets.closures.update(listed, from);
     }
     if !change.is_empty() {
-      self.targets.update(self.spread.catalog());
+      self.targets.update(self.gossip.catalog());
     }
     if change.configuration {
       self.update_lowest_priorities();
@@ -110,7 +110,7 @@
 
   fn update_lowest_priorities(&mut self) {
     self.lowest_priorities.clear();
-    let configuration = self.spread.catalog().configuration();
+    let configuration = self.gossip.catalog().configuration();
     for route in configuration
       .into_iter()
       .flat_map(|configuration| configuration.routes.values())
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -75,7 +75,7 @@
   /// When searches that are not answered time out.
   pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) searches: HashMap<Flow, Search>,
-  pub(super) spread: Gossip,
+  pub(super) gossip: Gossip,
   /// Until when opening packets may be older than they seem, after a stall of this process.
   pub(super) stale_until: Instant,
   pub(super) targets: Targets,
@@ -93,7 +93,7 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Gossip::new(now, settings, true, incarnation, tuning);
+    let gossip = Gossip::new(now, settings, true, incarnation, tuning);
     Self {
       announced: Announced::default(),
       buffered_bytes: 0,
@@ -117,7 +117,7 @@
       restarts: Restarts::default(),
       search_deadlines: BTreeSet::new(),
       searches: HashMap::new(),
-      spread,
+      gossip,
       stale_until: now,
       targets: Targets::new(
         now,
@@ -153,7 +153,7 @@
       .first()
       .map(|(deadline, _)| *deadline);
     let search = self.search_deadlines.first().map(|(deadline, _)| *deadline);
-    let status = self.spread.deadline();
+    let status = self.gossip.deadline();
     let queued = self.queue.deadline();
     let egress = self.egress.deadline();
     let restart = self.restarts.deadline();
@@ -192,20 +192,20 @@
     }
     self.place_queued(now, out);
     self.poll_restarts(now, out);
-    let complete = self.spread.catalog().complete();
+    let complete = self.gossip.catalog().complete();
     self.queries.send(now, complete, out);
     if now >= self.last_expiry + EXPIRY_INTERVAL {
       self.last_expiry = now;
       self.expire(now);
     }
-    if now >= self.spread.deadline() {
+    if now >= self.gossip.deadline() {
       let agents = self.targets.agents();
-      self.spread.tick(now, Role::Balancer, &agents, out);
+      self.gossip.tick(now, Role::Balancer, &agents, out);
     }
   }
 
   pub(super) fn expire(&mut self, now: Instant) {
-    let idle = self.spread.idle();
+    let idle = self.gossip.idle();
     let dead_ttl = self.tuning.dead;
     self.flows.retain(|_, place| {
       let ttl = if matches!(place.state, State::Dead) {
@@ -220,10 +220,10 @@
     self
       .handovers
       .retain(|_, handover| handover.age(now) < HANDOVER_TTL);
-    self.spread.expire(now);
+    self.gossip.expire(now);
     self.history.expire(now, self.tuning.amnesia);
     self.targets.expire(now);
-    self.targets.update(self.spread.catalog());
+    self.targets.update(self.gossip.catalog());
   }
 }
 
@@ -242,7 +242,7 @@
       "parked": self.queue.total(),
       "waiting": self.egress.len(),
       "searches": self.searches.len(),
-      "spread": self.spread.dump(now),
+      "spread": self.gossip.dump(now),
       "targets": self.targets.dump(now),
     })
   }
@@ -282,12 +282,12 @@
     result
   }
 
-  fn spread(&mut self) -> &mut Gossip {
-    &mut self.spread
+  fn gossip(&mut self) -> &mut Gossip {
+    &mut self.gossip
   }
 
   fn stop(&mut self, now: Instant, _: &mut Outbox) {
-    self.spread.stop(now);
+    self.gossip.stop(now);
   }
 
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -31,7 +31,7 @@
     let mut opening = Opening::new::<C>(now, head, packet);
     opening.may_be_open |= now < self.stale_until;
     self.end_search(&head.flow);
-    let route = self.spread.catalog().route(&head.flow.route);
+    let route = self.gossip.catalog().route(&head.flow.route);
     let is_routed_to = |service| route.is_some_and(|route| route.backends.takes_digest(service));
     if let Some(place) = self.flows.get_mut(&head.flow) {
       let (agent, service) = (place.agent, place.service);
@@ -69,7 +69,7 @@
   /// The service of a new flow: drawn by the weights of its address, among the services that have a
   /// target which accepts new flows. A service whose targets are merely busy keeps its share.
   fn destination(&self, now: Instant, flow: &Flow) -> Option<Service> {
-    let route = self.spread.catalog().route(&flow.route)?;
+    let route = self.gossip.catalog().route(&flow.route)?;
     let ranked = route.backends.ranked(flow);
     let first = *ranked.first()?;
     if ranked.len() == 1 {
@@ -148,7 +148,7 @@
     log::info!(
       flow:% = flow, service:% = service, to:% = agent, tried = opening.tried.len(),
       age:? = now.saturating_duration_since(opening.first), granted = is_granted,
-      wait_ms = wait_ms, version:% = self.spread.catalog().version(),
+      wait_ms = wait_ms, version:% = self.gossip.catalog().version(),
       weight:% = self.weight(&flow, service);
       "balancer: flow is placed."
     );
@@ -170,7 +170,7 @@
 
   /// The weight of a service among those of an address, for the log.
   fn weight(&self, flow: &Flow, service: &Service) -> Weight {
-    let route = self.spread.catalog().route(&flow.route);
+    let route = self.gossip.catalog().route(&flow.route);
     let weight = route.map(|route| route.backends.weight(service));
     weight.unwrap_or_default()
   }
@@ -184,7 +184,7 @@
   /// The longest that a new flow may wait for its answer, in milliseconds; longer if the service
   /// also has routes of a lower priority, so that flows of those are queued first.
   fn limit_ms(&self, flow: &Flow, service: &Service) -> f64 {
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       return f64::MAX;
     };
     let lowest_priority = self.lowest_priorities.get(service);
@@ -198,7 +198,7 @@
 
   /// The lane of the admission queue that a flow belongs to.
   pub(super) fn lane(&self, flow: &Flow, service: &Service) -> Lane {
-    let route = self.spread.catalog().route(&flow.route);
+    let route = self.gossip.catalog().route(&flow.route);
     Lane {
       priority: route.map_or(u8::MAX, |route| route.priority),
       service: service.clone(),
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -24,7 +24,7 @@
   ) -> Result<(), Code> {
     self.note_stall(now);
     let head = self.codec.read_from_caller(packet)?;
-    if self.spread.catalog().route(&head.flow.route).is_none() {
+    if self.gossip.catalog().route(&head.flow.route).is_none() {
       return self.reject_unroutable(now, &head, out);
     }
     if head.opens {
@@ -73,7 +73,7 @@
   pub(super) fn drain_egress(&mut self, now: Instant, out: &mut Outbox) {
     while let Some(QueuedPacket { head, packet }) = self.egress.pop(now) {
       let before = out.size();
-      if self.spread.catalog().route(&head.flow.route).is_some() {
+      if self.gossip.catalog().route(&head.flow.route).is_some() {
         self.forward(now, &head, &packet, out);
       }
       self.egress.charge(now, out.size() - before);
@@ -89,14 +89,14 @@
     head: &Head,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    let age = self.spread.confirmed(now);
+    let age = self.gossip.confirmed(now);
     let is_fresh = age.is_some_and(|age| age < CONFIRMATION_AGE_MAX);
-    if self.spread.catalog().configuration().is_none() || !is_fresh {
+    if self.gossip.catalog().configuration().is_none() || !is_fresh {
       return Err(Code::NotReady);
     }
     if head.opens && head.acknowledges == 0 {
       log::info!(
-        flow:% = head.flow, version:% = self.spread.catalog().version(), age:? = age;
+        flow:% = head.flow, version:% = self.gossip.catalog().version(), age:? = age;
         "balancer: flow has no route and is reset."
       );
       self.reset(&head.flow, 0, out);
@@ -122,10 +122,10 @@
     out: &mut Outbox,
   ) {
     let frame = Frame::Carry {
-      complete: self.spread.catalog().complete(),
+      complete: self.gossip.catalog().complete(),
       purpose,
       service,
-      version: self.spread.catalog().version(),
+      version: self.gossip.catalog().version(),
     };
     out.frame(agent, &frame, packet);
   }
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -20,16 +20,16 @@
     if self.history.is_known() || self.denied.is_empty() {
       return;
     }
-    for balancer in self.spread.present(now).collect::<Vec<_>>() {
+    for balancer in self.gossip.present(now).collect::<Vec<_>>() {
       self.request_history(now, balancer, out);
     }
   }
 
   /// Sends the targets that were removed, and the services that addresses were routed to.
   pub(super) fn send_history(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
-    let past = self.targets.past(now, self.spread.catalog());
+    let past = self.targets.past(now, self.gossip.catalog());
     let known = self.history.is_known();
-    let led = self.spread.led(now);
+    let led = self.gossip.led(now);
     let parts = past.len().max(led.len()).div_ceil(PAST_MAX).max(1);
     for part in 0..parts {
       let named = past.iter().skip(part * PAST_MAX).take(PAST_MAX);
@@ -52,7 +52,7 @@
   }
 
   pub(super) fn is_history_complete(&self, now: Instant) -> bool {
-    self.history.is_complete(now, self.spread.present(now))
+    self.history.is_complete(now, self.gossip.present(now))
   }
 
   /// Continues the searches for flows that all queried agents have denied, once the history is
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -34,7 +34,7 @@
   ) {
     let flow = head.flow;
     if !self.searches.contains_key(&flow) {
-      let services = self.spread.catalog().services(&flow.route);
+      let services = self.gossip.catalog().services(&flow.route);
       let mut search = Search::new(now, head.acknowledges, except);
       let mut queried = search.add_queried(self.targets.local_holders(&services));
       if queried.is_empty() {
@@ -82,7 +82,7 @@
     packet: &[u8],
     out: &mut Outbox,
   ) {
-    self.spread.is_behind(now, from, known.complete);
+    self.gossip.is_behind(now, from, known.complete);
     self.add_removed_targets(now, from, flows, known);
     for flow in flows {
       let place = self.flows.get(flow);
@@ -128,7 +128,7 @@
   fn services_of(&self, flows: &[Flow]) -> BTreeSet<Service> {
     let routes = flows.iter().map(|flow| flow.route);
     let routes = routes.collect::<BTreeSet<_>>();
-    let catalog = self.spread.catalog();
+    let catalog = self.gossip.catalog();
     let services = routes.iter().flat_map(|route| catalog.services(route));
     services.collect()
   }
@@ -143,7 +143,7 @@
       self.counter.count(Code::PacketTooShort);
       return;
     };
-    let routed = self.spread.catalog().route(&flow.route).is_some();
+    let routed = self.gossip.catalog().route(&flow.route).is_some();
     if routed && !self.flows.contains_key(&flow) {
       self.search(now, &head, packet, Some(from));
     }
@@ -169,11 +169,11 @@
       return;
     };
     search.is_wide = true;
-    let services = self.spread.catalog().services(&flow.route);
+    let services = self.gossip.catalog().services(&flow.route);
     let holders = self.targets.holders(&services);
     // Agents that have become known meanwhile are included.
     let (new, acknowledges) = (search.add_queried(holders), search.acknowledges);
-    let is_up_to_date = self.spread.catalog().complete() >= search.required_revision;
+    let is_up_to_date = self.gossip.catalog().complete() >= search.required_revision;
     if !search.pending.is_empty() {
       self.query(now, flow, acknowledges, &new);
       self.test_unsure(now, flow, out);
@@ -190,7 +190,7 @@
     }
     log::info!(
       flow:% = flow, queried = queried, acknowledges = acknowledges,
-      complete:% = self.spread.catalog().complete(), confirmed:? = self.spread.confirmed(now);
+      complete:% = self.gossip.catalog().complete(), confirmed:? = self.gossip.confirmed(now);
       "balancer: flow is denied by all agents and is reset."
     );
     self.mark_dead(now, flow, acknowledges, out);
@@ -220,7 +220,7 @@
     let time = now.saturating_duration_since(search.started);
     self.counter.observe("search", time);
     log::info!(flow:% = flow, at:% = from; "balancer: flow is found.");
-    if self.spread.catalog().route(&flow.route).is_none() {
+    if self.gossip.catalog().route(&flow.route).is_none() {
       return;
     }
     for packet in search.packets_for(from) {
@@ -242,7 +242,7 @@
     // An agent that exchanges no statuses with this balancer gets time to answer before it counts
     // as lost.
     let is_early = now.saturating_duration_since(search.started) < self.tuning.silent;
-    let may_answer = is_early && !self.spread.knows_all();
+    let may_answer = is_early && !self.gossip.knows_all();
     search.retain_pending(|agent| may_answer || !targets.is_lost(now, agent));
     self.query_rest(now, flow, out);
     let Some(search) = self.searches.get_mut(&flow) else {
@@ -291,7 +291,7 @@
 
   /// Adds queries, which are sent with the next timer.
   fn query(&mut self, now: Instant, flow: Flow, acknowledges: u32, agents: &[SocketAddrV4]) {
-    let services = self.spread.catalog().services(&flow.route);
+    let services = self.gossip.catalog().services(&flow.route);
     let services = services.iter().map(Service::digest).collect::<Digests>();
     for agent in agents {
       self.queries.add(now, *agent, &services, flow, acknowledges);
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -42,7 +42,7 @@
   /// tested at once when everyone has answered, or when most are unsure and the history is
   /// lost, as after a loss of power everywhere.
   pub(super) fn test_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
-    if self.spread.catalog().route(&flow.route).is_none() {
+    if self.gossip.catalog().route(&flow.route).is_none() {
       return;
     }
     let Some(mut search) = self.searches.remove(&flow) else {
@@ -91,8 +91,8 @@
       self.queries.charge(now);
       let frame = Frame::Fan {
         agents: agents.to_vec(),
-        complete: self.spread.catalog().complete(),
-        version: self.spread.catalog().version(),
+        complete: self.gossip.catalog().complete(),
+        version: self.gossip.catalog().version(),
       };
       out.frame(*relay, &frame, packet);
     }
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -40,7 +40,7 @@
       let lane = self.lane(&flow, service);
       self.queue.enqueue(now, &lane, (opening.first, flow));
       let place = Place {
-        agent: self.spread.address(),
+        agent: self.gossip.address(),
         last_packet: now,
         service: service.digest(),
         state: State::Queued(lane, opening),
@@ -52,7 +52,7 @@
       flow:% = flow, service:% = service, at:? = choice.map(|choice| choice.agent),
       wait_ms:? = choice.map(|choice| choice.wait_ms),
       age_ms:? = choice.and_then(|choice| self.targets.age_ms(now, choice.agent)),
-      version:% = self.spread.catalog().version(), queued = self.queue.len(service);
+      version:% = self.gossip.catalog().version(), queued = self.queue.len(service);
       "balancer: admission queue is full."
     );
     self.give_up(now, &flow, &opening, out);
@@ -123,7 +123,7 @@
   /// Whether a flow would be answered within its route's objective, counted from when the caller
   /// started.
   fn is_in_time(&self, now: Instant, (first, flow): Queued, choice: &Choice) -> bool {
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       return false;
     };
     let wait = Duration::from_secs_f64(choice.wait_ms / 1000.0);
@@ -145,7 +145,7 @@
     let Some(opening) = self.queued_opening(&flow).cloned() else {
       return false;
     };
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       self.give_up(now, &flow, &opening, out);
       return false;
     };
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -62,7 +62,7 @@
         Ok(())
       }
       Event::Unreachable(peer) => {
-        self.spread().cancel_pull(peer);
+        self.gossip().cancel_pull(peer);
         Ok(())
       }
     };
@@ -103,11 +103,11 @@
 
   /// Adds the seeds of reloaded settings.
   fn add_seeds(&mut self, now: Instant, seeds: &[SocketAddrV4]) {
-    self.spread().add_seeds(now, seeds);
+    self.gossip().add_seeds(now, seeds);
   }
 
   /// The gossip state: the catalog, the peers and what is to be read.
-  fn spread(&mut self) -> &mut Gossip;
+  fn gossip(&mut self) -> &mut Gossip;
 
   /// The process starts a graceful shutdown.
   fn stop(&mut self, now: Instant, out: &mut Outbox);
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -228,13 +228,13 @@
 
   /// Publishes the catalog, and what is to be read, to the control thread.
   fn publish(&mut self, now: Instant) {
-    let spread = self.machine.spread();
+    let gossip = self.machine.gossip();
     let checked = self.reader;
     let checked =
       checked.filter(|(at, _)| now.saturating_duration_since(*at) < READER_CHECK_INTERVAL);
-    let (at, reader) = checked.unwrap_or_else(|| (now, spread.is_reader(now)));
+    let (at, reader) = checked.unwrap_or_else(|| (now, gossip.is_reader(now)));
     self.reader = Some((at, reader));
-    let catalog = spread.catalog();
+    let catalog = gossip.catalog();
     let reading = Reading {
       after: catalog
         .configuration()
@@ -247,11 +247,11 @@
       *current = reading;
       modified
     });
-    if self.published != Some(spread.version()) {
-      self.published = Some(spread.version());
-      self.shared.publish(spread.catalog().clone());
+    if self.published != Some(gossip.version()) {
+      self.published = Some(gossip.version());
+      self.shared.publish(gossip.catalog().clone());
     }
-    if let Some((peer, after)) = spread.take_wanted() {
+    if let Some((peer, after)) = gossip.take_wanted() {
       // Sending fails only while the process ends.
       let _ = self.shared.pulls.send(Pull { after, peer });
     }
--- a/tests/datagram/spread.rs
+++ b/tests/datagram/gossip.rs
@@ -12,7 +12,7 @@
   std::time::{Duration, Instant},
 };
 
-fn spread(now: Instant, host: u8) -> Gossip {
+fn gossip(now: Instant, host: u8) -> Gossip {
   let settings = Settings {
     seeds: (1..=3).map(peer).collect(),
     ..settings(host)
@@ -36,11 +36,11 @@
 /// The balancers, of three that have heard from each other, that read the platform.
 fn readers(now: Instant, confirmed_ms: u32) -> Vec<u8> {
   let reads = |host: &u8| {
-    let mut spread = spread(now, *host);
+    let mut gossip = gossip(now, *host);
     for other in (1..=3).filter(|other| other != host) {
-      spread.status(now, peer(other), &status(0, Some(confirmed_ms)));
+      gossip.status(now, peer(other), &status(0, Some(confirmed_ms)));
     }
-    spread.is_reader(now)
+    gossip.is_reader(now)
   };
   (1..=3).filter(reads).collect()
 }
@@ -63,47 +63,47 @@
 fn a_balancer_without_peers_reads() {
   let now = Instant::now();
   for host in 1..=3 {
-    assert!(spread(now, host).is_reader(now));
+    assert!(gossip(now, host).is_reader(now));
   }
 }
 
 #[test]
 fn an_agent_never_reads() {
   let now = Instant::now();
-  let spread = Gossip::new(now, &settings(1), false, 1, Tuning::default());
-  assert!(!spread.is_reader(now));
+  let gossip = Gossip::new(now, &settings(1), false, 1, Tuning::default());
+  assert!(!gossip.is_reader(now));
 }
 
 #[test]
 fn an_update_is_requested_from_one_peer_at_a_time() {
   let now = Instant::now();
-  let mut spread = spread(now, 1);
-  spread.status(now, peer(2), &status(9, None));
-  spread.status(now, peer(3), &status(9, None));
-  assert_eq!(spread.take_wanted(), Some((peer(2), Revision(0))));
-  assert_eq!(spread.take_wanted(), None);
+  let mut gossip = gossip(now, 1);
+  gossip.status(now, peer(2), &status(9, None));
+  gossip.status(now, peer(3), &status(9, None));
+  assert_eq!(gossip.take_wanted(), Some((peer(2), Revision(0))));
+  assert_eq!(gossip.take_wanted(), None);
   // It doesn't answer, so the next one is asked.
-  spread.cancel_pull(peer(2));
-  spread.status(now, peer(3), &status(9, None));
-  assert_eq!(spread.take_wanted(), Some((peer(3), Revision(0))));
+  gossip.cancel_pull(peer(2));
+  gossip.status(now, peer(3), &status(9, None));
+  assert_eq!(gossip.take_wanted(), Some((peer(3), Revision(0))));
 }
 
 #[test]
 fn a_status_of_a_peer_that_is_ahead_does_not_confirm_the_catalog() {
   let now = Instant::now() + Duration::from_mins(1);
-  let mut spread = spread(now, 1);
-  spread.status(now, peer(2), &status(9, Some(10)));
-  assert_eq!(spread.confirmed(now), None);
+  let mut gossip = gossip(now, 1);
+  gossip.status(now, peer(2), &status(9, Some(10)));
+  assert_eq!(gossip.confirmed(now), None);
 }
 
 #[test]
 fn updates_of_the_platform_are_pushed_to_peers() {
   let now = Instant::now();
-  let mut spread = spread(now, 1);
+  let mut gossip = gossip(now, 1);
   let mut out = Outbox::default();
   let records = [configured(1, 7, &[(1, "a")])];
-  spread.news(now, Origin::Platform, news(None, 1, &records), &mut out);
-  let mut other = self::spread(now, 2);
+  gossip.news(now, Origin::Platform, news(None, 1, &records), &mut out);
+  let mut other = self::gossip(now, 2);
   let to_other = out.datagrams().iter().find(|sent| sent.to == peer(2));
   let (frame, _) = Frame::decode(out.bytes(to_other.expect("pushed"))).expect("frame");
   let Frame::News(pushed) = frame else {
@@ -116,13 +116,13 @@
 #[test]
 fn an_update_too_large_for_a_frame_is_announced_by_a_status() {
   let now = Instant::now();
-  let mut spread = spread(now, 1);
+  let mut gossip = gossip(now, 1);
   let mut out = Outbox::default();
   let routes = (0..200)
     .map(|number| (number, "service"))
     .collect::<Vec<_>>();
   let records = [configured(1, 7, &routes)];
-  spread.news(now, Origin::Platform, news(None, 1, &records), &mut out);
+  gossip.news(now, Origin::Platform, news(None, 1, &records), &mut out);
   let (frame, _) = Frame::decode(out.bytes(&out.datagrams()[0])).expect("frame");
   assert!(matches!(frame, Frame::Status(status) if status.complete == Revision(1)));
 }
@@ -132,13 +132,13 @@
   let mut balancer = crate::support::Stepped::balancer(1, None);
   balancer.step(Event::Stop);
   let now = balancer.now;
-  assert!(!balancer.machine.spread().is_reader(now));
+  assert!(!balancer.machine.gossip().is_reader(now));
 }
 
 #[test]
 fn peers_in_other_data_centres_get_fewer_statuses() {
   let now = Instant::now();
-  let mut spread = spread(now, 1);
+  let mut gossip = gossip(now, 1);
   let local = Status {
     data_centre: own_data_centre(),
     ..status(0, None)
@@ -146,10 +146,10 @@
   let mut sent_to = [0, 0];
   for step in 0..20 {
     let now = now + Duration::from_millis(100 * step);
-    spread.status(now, peer(2), &local);
-    spread.status(now, peer(3), &status(0, None));
+    gossip.status(now, peer(2), &local);
+    gossip.status(now, peer(3), &status(0, None));
     let mut out = Outbox::default();
-    spread.tell_now(now, Role::Balancer, &mut out);
+    gossip.tell_now(now, Role::Balancer, &mut out);
     for (count, host) in sent_to.iter_mut().zip([2, 3]) {
       *count += out
         .datagrams()
@@ -165,7 +165,7 @@
 fn own_data_centre() -> u32 {
   let now = Instant::now();
   let mut out = Outbox::default();
-  spread(now, 1).tell_now(now, Role::Balancer, &mut out);
+  gossip(now, 1).tell_now(now, Role::Balancer, &mut out);
   let (frame, _) = Frame::decode(out.bytes(&out.datagrams()[0])).expect("frame");
   let Frame::Status(status) = frame else {
     panic!("{frame:?}");
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -164,7 +164,7 @@
     let tuning = Tuning::default();
     let mut machine =
       balancer::Machine::new(now, settings, tuning, crate::plain::Plain, 1, counter);
-    machine.spread().is_reader(now + after)
+    machine.gossip().is_reader(now + after)
   };
   assert!(reads(&seed, Duration::ZERO));
   seed.peers = address(3);
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -286,7 +286,7 @@
   let sent = balancer.frame(12, &absent(9), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   // The balancer pulls the update that it lacks.
-  let wanted = balancer.machine.spread().take_wanted();
+  let wanted = balancer.machine.gossip().take_wanted();
   assert_eq!(wanted, Some((peer(11), Revision(4))));
 }
 
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -443,7 +443,7 @@
   pub fn is_up_to_date(&mut self) -> bool {
     let revision = self.latest_revision();
     let mut nodes = self.nodes.values_mut();
-    nodes.all(|node| node.machine().spread().catalog().complete() == revision)
+    nodes.all(|node| node.machine().gossip().catalog().complete() == revision)
   }
 
   /// Advances the time.
@@ -531,8 +531,8 @@
     let Some(node) = self.nodes.get_mut(&host) else {
       return;
     };
-    let spread = node.machine().spread();
-    let (reads, complete) = (spread.is_reader(now), spread.catalog().complete());
+    let gossip = node.machine().gossip();
+    let (reads, complete) = (gossip.is_reader(now), gossip.catalog().complete());
     if reads && answers {
       let whole = complete == Revision(0);
       let records = self.records.values();
@@ -555,14 +555,14 @@
     };
     let mut out = std::mem::take(&mut self.out);
     out.clear();
-    let before = node.machine().spread().catalog().version();
+    let before = node.machine().gossip().catalog().version();
     node.machine().step(now, event, &mut out);
-    let spread = node.machine().spread();
+    let gossip = node.machine().gossip();
     assert!(
-      spread.catalog().version() >= before,
+      gossip.catalog().version() >= before,
       "an older configuration replaced a newer one"
     );
-    if let Some((peer, after)) = spread.take_wanted() {
+    if let Some((peer, after)) = gossip.take_wanted() {
       self.pull_from_peer(host, peer, after);
     }
     for datagram in out.datagrams() {
@@ -574,7 +574,7 @@
   fn pull_from_peer(&mut self, host: u8, from: SocketAddrV4, after: Revision) {
     let other = self.nodes.get_mut(&from.ip().octets()[3]);
     if let Some(other) = other {
-      let news = other.machine().spread().catalog().since(after);
+      let news = other.machine().gossip().catalog().since(after);
       self.schedule(6, Item::News(host, Origin::Peer(from), news));
     }
   }
--- a/tests/machines/main.rs
+++ b/tests/machines/main.rs
@@ -5,12 +5,12 @@
 
 mod admission;
 mod flow;
+mod gossip;
 mod ledger;
 mod membership;
 mod random_run;
 mod results;
 mod routing;
-mod spread;
 mod store;
 mod wire;
 mod world;
