--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -201,7 +201,7 @@
         Ok(())
       }
       Frame::News(news) => {
-        self.take_news(now, Origin::Peer(from), news, out);
+        self.take_update(now, Origin::Peer(from), news, out);
         Ok(())
       }
       Frame::Status(status) => {
@@ -232,7 +232,7 @@
   }
 
   /// Applies an update of the platform's records.
-  pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  pub(super) fn take_update(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
     let first = self.gossip.catalog().complete() == Revision::default();
     let change = self.gossip.news(now, origin, news, out);
     if first {
@@ -410,7 +410,7 @@
   }
 
   fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    self.take_news(now, origin, news, out);
+    self.take_update(now, origin, news, out);
   }
 
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code> {
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -270,7 +270,7 @@
 
   fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
     let before = out.size();
-    self.take_news(now, origin, news, out);
+    self.take_update(now, origin, news, out);
     self.charge_link(now, before, out);
   }
 
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -219,7 +219,7 @@
       StatusCode::OK,
       resource::services(&shared.catalog()).to_string(),
     ),
-    UPDATE_PATH => tell_news(request.uri().query(), &context),
+    UPDATE_PATH => serve_update(request.uri().query(), &context),
     STATE => dump(source, shared).await,
     path if path.starts_with(SERVICE_PREFIX) => show_service(&path[SERVICE_PREFIX.len()..], shared),
     path if path == readiness && shared.is_ready() => web::answer(StatusCode::OK, ""),
@@ -257,7 +257,7 @@
   web::answer(StatusCode::NOT_FOUND, body.to_string())
 }
 
-fn tell_news<S>(query: Option<&str>, context: &Context<S>) -> Response<Full<Bytes>> {
+fn serve_update<S>(query: Option<&str>, context: &Context<S>) -> Response<Full<Bytes>> {
   let after = web::parameter(query, "after");
   let Some(after) = after.and_then(|after| after.parse().ok()) else {
     return web::answer(StatusCode::BAD_REQUEST, "expected `after`, a revision");
