--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -9,7 +9,7 @@
 const VERSION: u8 = 0xd4;
 
 /// The largest update that is pushed as a frame, in bytes: it fits in a datagram of 1,500 bytes.
-pub const NEWS_MAX: usize = 1200;
+pub const UPDATE_MAX: usize = 1200;
 
 /// The most tombstones, and the most former backends, in one frame: it fits in a datagram of 1,500
 /// bytes.
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -6,7 +6,7 @@
     Revision,
     datagram::{
       Frame, Outbox,
-      frame::{NEWS_MAX, Role, Status},
+      frame::{Role, Status, UPDATE_MAX},
     },
   },
   std::{
@@ -120,7 +120,7 @@
     let update = Frame::News(self.catalog.since(after));
     let mut encoded = Vec::new();
     update.encode(&mut encoded);
-    let frame = if encoded.len() <= NEWS_MAX {
+    let frame = if encoded.len() <= UPDATE_MAX {
       update
     } else {
       Frame::Status(self.own_status(now, Role::Balancer))
