--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -53,7 +53,7 @@
   outbox::{Datagram, Outbox, Via},
   patience::Patience,
   rate::{Rate, RateInvalid},
-  record::{Amendment, News, Record},
+  record::{Amendment, Record, Update},
   service::Service,
   settings::{Settings, Tuning, Upstream},
   target::Target,
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -10,8 +10,8 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, News, Origin, Outbox, Patience,
-      Settings, Tuning, Upstream, Version, event,
+      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Patience, Settings,
+      Tuning, Update, Upstream, Version, event,
       frame::{Purpose, Role},
       target::Born,
     },
@@ -200,7 +200,7 @@
         self.restore_flows(now, from, &flows);
         Ok(())
       }
-      Frame::News(news) => {
+      Frame::Update(news) => {
         self.take_update(now, Origin::Peer(from), news, out);
         Ok(())
       }
@@ -232,7 +232,13 @@
   }
 
   /// Applies an update of the platform's records.
-  pub(super) fn take_update(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  pub(super) fn take_update(
+    &mut self,
+    now: Instant,
+    origin: Origin,
+    news: Update,
+    out: &mut Outbox,
+  ) {
     let first = self.gossip.catalog().complete() == Revision::default();
     let change = self.gossip.news(now, origin, news, out);
     if first {
@@ -409,7 +415,7 @@
     self.work.in_flight() == 0
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) {
     self.take_update(now, origin, news, out);
   }
 
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -5,7 +5,7 @@
   crate::{
     Code,
     datagram::{
-      Change, Codec, Frame, News, Origin, Outbox,
+      Change, Codec, Frame, Origin, Outbox, Update,
       frame::{Role, Status},
     },
   },
@@ -55,7 +55,7 @@
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
-      Frame::News(news) => self.take_update(now, Origin::Peer(from), news, out),
+      Frame::Update(news) => self.take_update(now, Origin::Peer(from), news, out),
       Frame::Opened(flow, load) => self.complete_opening(now, from, flow, load),
       Frame::Refused(flow, refusal, load) => {
         self.retry_refused(now, from, flow, refusal, load, out);
@@ -88,7 +88,13 @@
     }
   }
 
-  pub(super) fn take_update(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  pub(super) fn take_update(
+    &mut self,
+    now: Instant,
+    origin: Origin,
+    news: Update,
+    out: &mut Outbox,
+  ) {
     let change = self.gossip.news(now, origin, news, out);
     self.apply_change(now, &change);
     self.conclude_denied(now, out);
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -15,7 +15,7 @@
     Code,
     counter::Counter,
     datagram::{
-      Codec, Flow, Gossip, Handover, News, Origin, Outbox, Patience, Service, Settings, Tuning,
+      Codec, Flow, Gossip, Handover, Origin, Outbox, Patience, Service, Settings, Tuning, Update,
       event, frame::Role,
     },
   },
@@ -268,7 +268,7 @@
     false
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) {
     let before = out.size();
     self.take_update(now, origin, news, out);
     self.charge_link(now, before, out);
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -1,6 +1,6 @@
 use {
   super::{
-    Closures, Configuration, Former, News, Record, Route, Service, Target, Warmup,
+    Closures, Configuration, Former, Record, Route, Service, Target, Update, Warmup,
     changed::Changed, target,
   },
   crate::Revision,
@@ -114,7 +114,7 @@
 
   /// Applies an update and returns what it changed; records that are older than the known ones are
   /// ignored.
-  pub fn offer(&mut self, now: Instant, news: News) -> Change {
+  pub fn offer(&mut self, now: Instant, news: Update) -> Change {
     let mut change = Change::default();
     // A snapshot that is older than the catalog would remove targets that were added since.
     let snapshot = news.after.is_none() && news.to >= self.complete;
@@ -170,7 +170,7 @@
   }
 
   /// The update after a revision; a snapshot where removals since then may be unknown here.
-  pub fn since(&self, after: Revision) -> News {
+  pub fn since(&self, after: Revision) -> Update {
     let snapshot = after < self.removals_from;
     let oldest = if snapshot { Revision::default() } else { after };
     let configuration = self.configuration.iter();
@@ -185,7 +185,7 @@
       revision: entry.revision,
       target: entry.gone.is_none().then(|| entry.target.as_ref().clone()),
     });
-    News {
+    Update {
       after: (!snapshot).then_some(after),
       records: closures.chain(configuration).chain(targets).collect(),
       to: self.complete,
@@ -314,7 +314,7 @@
 }
 
 impl Listed {
-  fn of(news: &News) -> Self {
+  fn of(news: &Update) -> Self {
     let mut listed = Self::default();
     for record in &news.records {
       match record {
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Gossip, News, Outbox},
+  super::{Gossip, Outbox, Update},
   crate::{Code, counter::Counter},
   std::{net::SocketAddrV4, time::Instant},
 };
@@ -27,7 +27,7 @@
     bytes: &'a [u8],
   },
   /// An update was read from the platform or pulled from a peer.
-  News(Origin, News),
+  Update(Origin, Update),
   /// A packet arrived: a caller's at a balancer, the upstream's at an agent.
   Packet(&'a mut [u8]),
   /// A peer could not be reached to pull an update.
@@ -48,7 +48,7 @@
         Ok(())
       }
       Event::Frame { from, bytes } => self.frame(now, from, bytes, out),
-      Event::News(origin, news) => {
+      Event::Update(origin, news) => {
         self.news(now, origin, news, out);
         Ok(())
       }
@@ -96,7 +96,7 @@
   fn is_quiet(&self) -> bool;
 
   /// Applies an update.
-  fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox);
+  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox);
 
   /// A packet arrived: a caller's at a balancer, the upstream's at an agent.
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code>;
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Flow, Load, News, Service, Version, handover::Passed, service::Digest},
+  super::{Flow, Load, Service, Update, Version, handover::Passed, service::Digest},
   crate::{Code, Revision},
   serde::{Deserialize, Serialize},
   std::net::SocketAddrV4,
@@ -169,7 +169,7 @@
     flows: Vec<Flow>,
   },
   /// An update of the catalog.
-  News(News),
+  Update(Update),
   /// The upstream accepted the opening packet.
   Opened(Flow, Load),
   /// The flow was not opened at this upstream; the opening packet follows.
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -6,7 +6,7 @@
 use {
   self::{links::Links, peer::Peer},
   super::{
-    Catalog, Change, News, Outbox, Rate, Settings, Tuning,
+    Catalog, Change, Outbox, Rate, Settings, Tuning, Update,
     event::Origin,
     frame::{Led, Role, Status},
   },
@@ -210,7 +210,7 @@
 
   /// Applies an update and returns what it changed. An update from the platform is pushed to all
   /// peers.
-  pub fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) -> Change {
+  pub fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) -> Change {
     let (after, to) = (self.catalog.complete(), news.to);
     // The change happened since the platform was last heard from.
     let age = self.confirmed(now);
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -117,7 +117,7 @@
   /// Pushes the records after a revision to all peers. An update that is too large for a frame is
   /// announced by a status, after which they pull it.
   pub(super) fn push(&mut self, now: Instant, after: Revision, out: &mut Outbox) {
-    let update = Frame::News(self.catalog.since(after));
+    let update = Frame::Update(self.catalog.since(after));
     let mut encoded = Vec::new();
     update.encode(&mut encoded);
     let frame = if encoded.len() <= UPDATE_MAX {
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -8,7 +8,7 @@
   crate::{
     Code, Revision,
     code::Fault,
-    datagram::{News, Origin, Settings},
+    datagram::{Origin, Settings, Update},
     web,
   },
   bytes::Bytes,
@@ -114,7 +114,7 @@
         }
         back_off = BACK_OFF_MIN;
         if let Some(news) = news {
-          shared.send(Message::News(Origin::Platform, news));
+          shared.send(Message::Update(Origin::Platform, news));
         } else {
           log::info!("control: platform no longer has the history; reading a snapshot.");
         }
@@ -143,7 +143,7 @@
 
 /// Reads a snapshot. Starts further attempts while earlier ones are unanswered, since their
 /// connections may be dead, and returns the first answer.
-async fn read_first<S: Source>(source: &S) -> Result<News, Fault> {
+async fn read_first<S: Source>(source: &S) -> Result<Update, Fault> {
   let mut reads = FuturesUnordered::new();
   let mut attempts = tokio::time::interval(ATTEMPT_INTERVAL);
   loop {
@@ -164,7 +164,7 @@
     let shared = Arc::clone(&shared);
     tokio::spawn(async move {
       match pull_update(pull.peer, pull.after).await {
-        Ok(news) => shared.send(Message::News(Origin::Peer(pull.peer), news)),
+        Ok(news) => shared.send(Message::Update(Origin::Peer(pull.peer), news)),
         Err(fault) => {
           shared.counter.count(Code::PeerUnreachable);
           log::info!(peer:% = pull.peer, fault:% = fault; "control: peer does not answer.");
@@ -175,7 +175,7 @@
   }
 }
 
-async fn pull_update(peer: SocketAddrV4, after: Revision) -> Result<News, Fault> {
+async fn pull_update(peer: SocketAddrV4, after: Revision) -> Result<Update, Fault> {
   let path = format!("{UPDATE_PATH}?after={after}");
   let (status, body) = web::request(peer.into(), Method::GET, &path, "", PEER_TIMEOUT).await?;
   if status != StatusCode::OK {
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -274,7 +274,7 @@
           let _ = done.send(());
           return true;
         }
-        Message::News(origin, news) => Event::News(origin, news),
+        Message::Update(origin, news) => Event::Update(origin, news),
         Message::Seeds(seeds) => {
           self.machine.add_seeds(now, &seeds);
           continue;
--- a/src/datagram/node/shared.rs
+++ b/src/datagram/node/shared.rs
@@ -2,7 +2,7 @@
   crate::{
     Revision,
     counter::Counter,
-    datagram::{Catalog, News, Origin},
+    datagram::{Catalog, Origin, Update},
   },
   crossbeam::channel::Sender,
   std::{
@@ -23,7 +23,7 @@
   /// Ends the packet loop; answered once the final message is sent.
   End(Sender<()>),
   /// An update from the platform or a peer.
-  News(Origin, News),
+  Update(Origin, Update),
   /// The seeds of reloaded settings.
   Seeds(Vec<SocketAddrV4>),
   /// The process starts a graceful shutdown.
--- a/src/datagram/node/source.rs
+++ b/src/datagram/node/source.rs
@@ -1,12 +1,12 @@
 use {
-  crate::{Revision, code::Fault, datagram::News},
+  crate::{Revision, code::Fault, datagram::Update},
   std::{future::Future, time::Duration},
 };
 
 /// The platform's store, from which the configuration and the target list are read.
 pub trait Source: Clone + Send + Sync + 'static {
   /// Reads a snapshot. Fails if the platform doesn't answer, or not validly.
-  fn read(&self) -> impl Future<Output = Result<News, Fault>> + Send;
+  fn read(&self) -> impl Future<Output = Result<Update, Fault>> + Send;
 
   /// Waits up to `wait` for changes after a revision; none if the platform no longer has the
   /// history since then. Fails if the platform doesn't answer, or not validly.
@@ -14,7 +14,7 @@
     &self,
     after: Revision,
     wait: Duration,
-  ) -> impl Future<Output = Result<Option<News>, Fault>> + Send;
+  ) -> impl Future<Output = Result<Option<Update>, Fault>> + Send;
 
   /// The names of the operator's orders and list entries that were read here and are ignored as
   /// invalid.
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -91,7 +91,7 @@
 
 /// The records between two revisions of the platform's data, or a snapshot of all.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct News {
+pub struct Update {
   /// The revision up to which the receiver must be complete; none for a snapshot.
   pub after: Option<Revision>,
   /// The records.
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/closures.rs
@@ -14,7 +14,7 @@
     Revision,
     config::Presence,
     datagram::{
-      Catalog, Frame, Load, News,
+      Catalog, Frame, Load, Update,
       frame::{Purpose, Refusal},
     },
   },
@@ -31,7 +31,7 @@
   catalog.closures().is_closed(LOCAL)
 }
 
-fn apply(catalog: &mut Catalog, news: News) -> bool {
+fn apply(catalog: &mut Catalog, news: Update) -> bool {
   catalog.offer(Instant::now(), news).closures
 }
 
@@ -261,7 +261,7 @@
   let mut balancer = balancer();
   let sent = balancer.platform(news(Some(4), 9, &[]));
   let pushed = sent.iter().any(|sent| {
-    matches!(sent, Sent::Frame(to, Frame::News(news), _)
+    matches!(sent, Sent::Frame(to, Frame::Update(news), _)
       if *to == peer(11) && news.to == Revision(9))
   });
   assert!(pushed, "{sent:?}");
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -106,7 +106,7 @@
   let mut other = self::gossip(now, 2);
   let to_other = out.datagrams().iter().find(|sent| sent.to == peer(2));
   let (frame, _) = Frame::decode(out.bytes(to_other.expect("pushed"))).expect("frame");
-  let Frame::News(pushed) = frame else {
+  let Frame::Update(pushed) = frame else {
     panic!("{frame:?}");
   };
   other.news(now, Origin::Peer(peer(1)), pushed, &mut Outbox::default());
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -82,7 +82,7 @@
   let mut receivers = BTreeSet::new();
   // Its catalog is up to date, so that their confirmations of it count and it doesn't read the
   // platform.
-  let known = Event::News(Origin::Peer(address(1)), news(None, 5, &[]));
+  let known = Event::Update(Origin::Peer(address(1)), news(None, 5, &[]));
   machine.step(now, known, &mut out);
   for step in 0..80 {
     for number in 1..=balancers {
@@ -143,7 +143,7 @@
   let sent = balancer.platform(news(Some(20), 21, &records));
   for host in [11, 12, 13] {
     let pushed = sent.iter().any(|sent| {
-      matches!(sent, crate::support::Sent::Frame(to, Frame::News(_), _)
+      matches!(sent, crate::support::Sent::Frame(to, Frame::Update(_), _)
         if *to == crate::support::peer(host))
     });
     assert!(pushed, "{host}");
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -5,8 +5,8 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Backend, Backends, Configuration, Event, Flow, Frame, Machine, News, Origin, Outbox, Rate,
-      Record, Route, Service, Settings, Target, Tuning, Upstream, Version, Via, Warmup, Weight,
+      Backend, Backends, Configuration, Event, Flow, Frame, Machine, Origin, Outbox, Rate, Record,
+      Route, Service, Settings, Target, Tuning, Update, Upstream, Version, Via, Warmup, Weight,
       agent, balancer, frame::Purpose, service::Digest,
     },
   },
@@ -206,8 +206,8 @@
 }
 
 /// An update with records; a snapshot without `after`.
-pub fn news(after: Option<u64>, to: u64, records: &[Record]) -> News {
-  News {
+pub fn news(after: Option<u64>, to: u64, records: &[Record]) -> Update {
+  Update {
     after: after.map(Revision),
     records: records.to_vec(),
     to: Revision(to),
@@ -376,8 +376,8 @@
   }
 
   /// Passes an update from the platform.
-  pub fn platform(&mut self, news: News) -> Vec<Sent> {
-    self.step(Event::News(Origin::Platform, news))
+  pub fn platform(&mut self, news: Update) -> Vec<Sent> {
+    self.step(Event::Update(Origin::Platform, news))
   }
 
   /// Advances the time and passes a tick.
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -12,7 +12,7 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Codec, Event, Flow, Machine, News, Origin, Outbox, Record, Settings, Tuning, Upstream, Via,
+      Codec, Event, Flow, Machine, Origin, Outbox, Record, Settings, Tuning, Update, Upstream, Via,
       agent, balancer, target,
     },
   },
@@ -88,7 +88,7 @@
   Warmup(u8),
   Caller(Flow, u64),
   Frame(u8, SocketAddrV4, Vec<u8>),
-  News(u8, Origin, News),
+  Update(u8, Origin, Update),
   Packet(u8, Vec<u8>),
   Read(u8),
   Tick(u8),
@@ -500,7 +500,7 @@
           bytes: &bytes,
         },
       ),
-      Item::News(host, origin, news) => self.step(host, Event::News(origin, news)),
+      Item::Update(host, origin, news) => self.step(host, Event::Update(origin, news)),
       Item::Packet(host, mut bytes) => self.step(host, Event::Packet(&mut bytes)),
       Item::Read(host) => self.read(host),
       Item::Tick(host) => self.tick(host),
@@ -538,12 +538,12 @@
       let records = self.records.values();
       let records = records.filter(|record| record.revision() > complete);
       let present = records.filter(|record| !whole || Self::is_in_snapshot(record));
-      let news = News {
+      let news = Update {
         after: (!whole).then_some(complete),
         records: present.cloned().collect(),
         to: Revision(self.revision),
       };
-      self.schedule(4, Item::News(host, Origin::Platform, news));
+      self.schedule(4, Item::Update(host, Origin::Platform, news));
     }
     self.schedule(READ_INTERVAL_MS, Item::Read(host));
   }
@@ -575,7 +575,7 @@
     let other = self.nodes.get_mut(&from.ip().octets()[3]);
     if let Some(other) = other {
       let news = other.machine().gossip().catalog().since(after);
-      self.schedule(6, Item::News(host, Origin::Peer(from), news));
+      self.schedule(6, Item::Update(host, Origin::Peer(from), news));
     }
   }
 
