--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -200,8 +200,8 @@
         self.restore_flows(now, from, &flows);
         Ok(())
       }
-      Frame::Update(news) => {
-        self.take_update(now, Origin::Peer(from), news, out);
+      Frame::Update(update) => {
+        self.take_update(now, Origin::Peer(from), update, out);
         Ok(())
       }
       Frame::Status(status) => {
@@ -236,11 +236,11 @@
     &mut self,
     now: Instant,
     origin: Origin,
-    news: Update,
+    update: Update,
     out: &mut Outbox,
   ) {
     let first = self.gossip.catalog().complete() == Revision::default();
-    let change = self.gossip.news(now, origin, news, out);
+    let change = self.gossip.update(now, origin, update, out);
     if first {
       // The first target list may have been written before a suspected restart.
       self.cold.extend_suspicion(self.gossip.catalog().complete());
@@ -415,8 +415,8 @@
     self.work.in_flight() == 0
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) {
-    self.take_update(now, origin, news, out);
+  fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox) {
+    self.take_update(now, origin, update, out);
   }
 
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code> {
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -55,7 +55,7 @@
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
-      Frame::Update(news) => self.take_update(now, Origin::Peer(from), news, out),
+      Frame::Update(update) => self.take_update(now, Origin::Peer(from), update, out),
       Frame::Opened(flow, load) => self.complete_opening(now, from, flow, load),
       Frame::Refused(flow, refusal, load) => {
         self.retry_refused(now, from, flow, refusal, load, out);
@@ -92,10 +92,10 @@
     &mut self,
     now: Instant,
     origin: Origin,
-    news: Update,
+    update: Update,
     out: &mut Outbox,
   ) {
-    let change = self.gossip.news(now, origin, news, out);
+    let change = self.gossip.update(now, origin, update, out);
     self.apply_change(now, &change);
     self.conclude_denied(now, out);
   }
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -268,9 +268,9 @@
     false
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) {
+  fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox) {
     let before = out.size();
-    self.take_update(now, origin, news, out);
+    self.take_update(now, origin, update, out);
     self.charge_link(now, before, out);
   }
 
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -114,22 +114,22 @@
 
   /// Applies an update and returns what it changed; records that are older than the known ones are
   /// ignored.
-  pub fn offer(&mut self, now: Instant, news: Update) -> Change {
+  pub fn offer(&mut self, now: Instant, update: Update) -> Change {
     let mut change = Change::default();
     // A snapshot that is older than the catalog would remove targets that were added since.
-    let snapshot = news.after.is_none() && news.to >= self.complete;
-    let listed = snapshot.then(|| Listed::of(&news));
+    let snapshot = update.after.is_none() && update.to >= self.complete;
+    let listed = snapshot.then(|| Listed::of(&update));
     if self.complete == Revision::default() {
-      self.removals_from = news.to;
+      self.removals_from = update.to;
     }
-    for record in news.records {
+    for record in update.records {
       self.apply(now, record, &mut change);
     }
     if let Some(listed) = listed {
-      self.drop_unlisted(now, news.to, &listed, &mut change);
+      self.drop_unlisted(now, update.to, &listed, &mut change);
     }
-    if news.after.is_none_or(|after| after <= self.complete) {
-      self.complete = self.complete.max(news.to);
+    if update.after.is_none_or(|after| after <= self.complete) {
+      self.complete = self.complete.max(update.to);
     }
     change
   }
@@ -314,9 +314,9 @@
 }
 
 impl Listed {
-  fn of(news: &Update) -> Self {
+  fn of(update: &Update) -> Self {
     let mut listed = Self::default();
-    for record in &news.records {
+    for record in &update.records {
       match record {
         Record::Closure { data_centre, .. } => {
           listed.closed.insert(data_centre.clone());
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -48,8 +48,8 @@
         Ok(())
       }
       Event::Frame { from, bytes } => self.frame(now, from, bytes, out),
-      Event::Update(origin, news) => {
-        self.news(now, origin, news, out);
+      Event::Update(origin, update) => {
+        self.update(now, origin, update, out);
         Ok(())
       }
       Event::Packet(packet) => self.packet(now, packet, out),
@@ -96,7 +96,7 @@
   fn is_quiet(&self) -> bool;
 
   /// Applies an update.
-  fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox);
+  fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox);
 
   /// A packet arrived: a caller's at a balancer, the upstream's at an agent.
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code>;
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -210,12 +210,18 @@
 
   /// Applies an update and returns what it changed. An update from the platform is pushed to all
   /// peers.
-  pub fn news(&mut self, now: Instant, origin: Origin, news: Update, out: &mut Outbox) -> Change {
-    let (after, to) = (self.catalog.complete(), news.to);
+  pub fn update(
+    &mut self,
+    now: Instant,
+    origin: Origin,
+    update: Update,
+    out: &mut Outbox,
+  ) -> Change {
+    let (after, to) = (self.catalog.complete(), update.to);
     // The change happened since the platform was last heard from.
     let age = self.confirmed(now);
-    let missing = news.after.is_some_and(|from| from > after);
-    let change = self.catalog.offer(now, news);
+    let missing = update.after.is_some_and(|from| from > after);
+    let change = self.catalog.offer(now, update);
     if origin == Origin::Platform {
       self.confirmed = Some(now);
       // Peers start reading the platform themselves if the reader's status stays away.
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -107,14 +107,14 @@
       None => read_first(&source).await.map(Some),
     };
     match answer {
-      Ok(news) => {
-        snapshot_due = news.is_none();
+      Ok(update) => {
+        snapshot_due = update.is_none();
         if let Some(since) = failing_since.take() {
           log::info!(after:? = since.elapsed(); "control: platform answers again.");
         }
         back_off = BACK_OFF_MIN;
-        if let Some(news) = news {
-          shared.send(Message::Update(Origin::Platform, news));
+        if let Some(update) = update {
+          shared.send(Message::Update(Origin::Platform, update));
         } else {
           log::info!("control: platform no longer has the history; reading a snapshot.");
         }
@@ -164,7 +164,7 @@
     let shared = Arc::clone(&shared);
     tokio::spawn(async move {
       match pull_update(pull.peer, pull.after).await {
-        Ok(news) => shared.send(Message::Update(Origin::Peer(pull.peer), news)),
+        Ok(update) => shared.send(Message::Update(Origin::Peer(pull.peer), update)),
         Err(fault) => {
           shared.counter.count(Code::PeerUnreachable);
           log::info!(peer:% = pull.peer, fault:% = fault; "control: peer does not answer.");
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -274,7 +274,7 @@
           let _ = done.send(());
           return true;
         }
-        Message::Update(origin, news) => Event::Update(origin, news),
+        Message::Update(origin, update) => Event::Update(origin, update),
         Message::Seeds(seeds) => {
           self.machine.add_seeds(now, &seeds);
           continue;
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -5,7 +5,7 @@
   crate::{
     plain::{Kind, Packet, Plain},
     support::{
-      Sent, Stepped, agent_of, configured, flow, found, listed, news, peer, unlisted, unsure,
+      Sent, Stepped, agent_of, configured, flow, found, listed, peer, unlisted, unsure, update,
       upstream,
     },
   },
@@ -113,7 +113,7 @@
 #[test]
 fn a_draining_upstream_gets_no_opening_packet() {
   let (mut agent, open) = with_flow(true);
-  agent.platform(news(
+  agent.platform(update(
     Some(2),
     3,
     &[listed(3, "up", 9, "a", Presence::Leaving)],
@@ -131,7 +131,7 @@
 #[test]
 fn an_upstream_that_was_removed_from_the_list_gets_no_opening_packet() {
   let (mut agent, _) = with_flow(true);
-  agent.platform(news(Some(2), 3, &[unlisted(3, "up")]));
+  agent.platform(update(Some(2), 3, &[unlisted(3, "up")]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
   assert_matches!(
     &sent[..],
@@ -142,7 +142,7 @@
 #[test]
 fn an_opening_packet_for_a_route_without_the_service_is_dropped() {
   let (mut agent, _) = with_flow(true);
-  agent.platform(news(Some(2), 3, &[configured(3, 2, &[])]));
+  agent.platform(update(Some(2), 3, &[configured(3, 2, &[])]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
   assert_eq!(sent, []);
 }
@@ -244,7 +244,7 @@
     listed(4, "up-11", 11, "a", Presence::Live),
     listed(5, "up-20", 20, "b", Presence::Live),
   ];
-  agent.platform(news(Some(2), 5, &records));
+  agent.platform(update(Some(2), 5, &records));
   let known = targets_named_to(&mut agent, 3);
   assert_eq!(known.past, [(upstream(11), 0)]);
   assert_eq!(known.complete, Revision(3));
@@ -258,7 +258,7 @@
     let id = format!("up-{host}");
     listed(host, &id, host as u8, "a", Presence::Live)
   });
-  agent.platform(news(Some(2), 99, &records.collect::<Vec<_>>()));
+  agent.platform(update(Some(2), 99, &records.collect::<Vec<_>>()));
   assert_eq!(targets_named_to(&mut agent, 2).complete, Revision(99));
   assert_eq!(targets_named_to(&mut agent, 90).complete, Revision(90));
 }
--- a/tests/datagram/amending.rs
+++ b/tests/datagram/amending.rs
@@ -2,7 +2,7 @@
 //! the same configuration everywhere.
 
 use {
-  crate::support::{configuration, configured, news},
+  crate::support::{configuration, configured, update},
   assert_matches::assert_matches,
   fallwell::{
     Revision,
@@ -31,7 +31,7 @@
   let mut after = None;
   for (revision, version, routes) in configurations {
     let record = configured(*revision, *version, routes);
-    catalog.offer(now, news(after, *revision, &[record]));
+    catalog.offer(now, update(after, *revision, &[record]));
     after = Some(*revision);
   }
   catalog
@@ -43,13 +43,13 @@
   changed[9].1 = "b";
   changed.remove(0);
   let sender = catalog(&[(5, 1, routes(200)), (6, 2, changed.clone())]);
-  let news = sender.since(Revision(5));
+  let update = sender.since(Revision(5));
   assert_matches!(
-    &news.records[..],
+    &update.records[..],
     [Record::Amendment { amendment, .. }] if amendment.routes.len() == 2
   );
   let mut other = catalog(&[(5, 1, routes(200))]);
-  assert!(other.offer(Instant::now(), news).configuration);
+  assert!(other.offer(Instant::now(), update).configuration);
   assert_eq!(in_force(&other), configuration(2, &changed));
 }
 
@@ -84,8 +84,8 @@
 #[test]
 fn a_receiver_older_than_the_senders_history_gets_the_whole_configuration() {
   let sender = catalog(&[(5, 1, routes(10)), (6, 2, routes(9))]);
-  let news = sender.since(Revision(4));
-  assert!(matches!(news.records[..], [Record::Configuration { .. }]));
+  let update = sender.since(Revision(4));
+  assert!(matches!(update.records[..], [Record::Configuration { .. }]));
 }
 
 #[test]
--- a/tests/datagram/balancer.rs
+++ b/tests/datagram/balancer.rs
@@ -4,7 +4,7 @@
   crate::{
     balancing::{balancer, busy, carried, feed_status, is_reset},
     plain::Packet,
-    support::{configured, flow, listed, news, unlisted},
+    support::{configured, flow, listed, unlisted, update},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -94,7 +94,7 @@
 fn a_leaving_target_gets_no_new_flow() {
   let mut balancer = balancer();
   let leaving = listed(5, "up-11", 11, "a", Presence::Leaving);
-  balancer.platform(news(Some(4), 5, &[leaving]));
+  balancer.platform(update(Some(4), 5, &[leaving]));
   for port in 0..50 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert!(!carried(&sent).contains(&(11, Purpose::Open)));
@@ -109,7 +109,7 @@
     unlisted(5, "up-11"),
     listed(6, "up-31", 11, "b", Presence::Live),
   ];
-  balancer.platform(news(Some(4), 6, &records));
+  balancer.platform(update(Some(4), 6, &records));
   for port in 0..50 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert!(!carried(&sent).contains(&(11, Purpose::Open)));
@@ -121,7 +121,7 @@
 fn removed_targets_are_used_briefly_if_none_is_listed() {
   let mut balancer = balancer();
   let records = [unlisted(5, "up-11"), unlisted(6, "up-12")];
-  balancer.platform(news(Some(4), 6, &records));
+  balancer.platform(update(Some(4), 6, &records));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
   balancer.pass(Duration::from_secs(3));
@@ -132,7 +132,7 @@
 #[test]
 fn a_new_flow_to_a_removed_route_is_reset_at_once() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
+  balancer.platform(update(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert!(is_reset(&sent, flow(1, 1), 0), "{sent:?}");
 }
@@ -181,7 +181,7 @@
     listed(5, "up-13", 13, "a", live),
     listed(6, "up-14", 14, "a", live),
   ];
-  balancer.platform(news(Some(4), 6, &records));
+  balancer.platform(update(Some(4), 6, &records));
   let load = |service_ms, work| Load {
     service_ms,
     work,
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     plain::{Kind, Packet, Plain},
-    support::{Sent, Stepped, configured, flow, listed, news},
+    support::{Sent, Stepped, configured, flow, listed, update},
   },
   fallwell::{
     Revision,
@@ -34,7 +34,7 @@
     listed(3, "up-12", 12, "a", live),
     listed(4, "up-21", 21, "b", live),
   ];
-  balancer.platform(news(None, 4, &records));
+  balancer.platform(update(None, 4, &records));
   for host in [11, 12, 21] {
     feed_status(&mut balancer, host, 1, Load::default());
   }
--- a/tests/datagram/catalog.rs
+++ b/tests/datagram/catalog.rs
@@ -1,7 +1,7 @@
 //! A catalog never replaces a record with an older one.
 
 use {
-  crate::support::{configured, listed, news, unlisted},
+  crate::support::{configured, listed, unlisted, update},
   fallwell::{Revision, config::Presence, datagram::Catalog, datagram::Version},
   std::time::{Duration, Instant},
 };
@@ -10,8 +10,8 @@
 fn an_older_configuration_is_ignored() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
-  catalog.offer(now, news(None, 5, &[configured(5, 7, &[(1, "a")])]));
-  let change = catalog.offer(now, news(Some(0), 4, &[configured(4, 6, &[(1, "b")])]));
+  catalog.offer(now, update(None, 5, &[configured(5, 7, &[(1, "a")])]));
+  let change = catalog.offer(now, update(Some(0), 4, &[configured(4, 6, &[(1, "b")])]));
   assert!(change.is_empty());
   assert_eq!(catalog.version(), Version(7));
   assert_eq!(catalog.complete(), Revision(5));
@@ -22,8 +22,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, news(None, 3, &[]));
+  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.offer(now, update(None, 3, &[]));
   let (_, entry) = catalog.entries().next().expect("entry");
   assert_eq!(entry.gone, None);
 }
@@ -33,8 +33,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, news(None, 8, &[listed(7, "two", 2, "a", live)]));
+  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.offer(now, update(None, 8, &[listed(7, "two", 2, "a", live)]));
   let gone = catalog.entries().map(|(_, entry)| entry.gone.is_some());
   assert_eq!(gone.collect::<Vec<_>>(), [true, false]);
 }
@@ -44,8 +44,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, news(Some(5), 6, &[unlisted(6, "one")]));
+  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
   catalog.expire(now + Duration::from_mins(1));
   assert_eq!(catalog.entries().count(), 1);
   catalog.expire(now + Duration::from_mins(2));
@@ -57,9 +57,9 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, news(Some(5), 6, &[unlisted(6, "one")]));
-  catalog.offer(now, news(Some(6), 7, &[listed(7, "one", 1, "a", live)]));
+  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
+  catalog.offer(now, update(Some(6), 7, &[listed(7, "one", 1, "a", live)]));
   let (_, entry) = catalog.entries().next().expect("entry");
   assert_eq!(entry.gone, None);
 }
@@ -68,8 +68,8 @@
 fn an_update_after_a_gap_does_not_count_as_complete() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
-  catalog.offer(now, news(None, 5, &[]));
-  catalog.offer(now, news(Some(8), 9, &[configured(9, 7, &[])]));
+  catalog.offer(now, update(None, 5, &[]));
+  catalog.offer(now, update(Some(8), 9, &[configured(9, 7, &[])]));
   assert_eq!(catalog.complete(), Revision(5));
   assert_eq!(catalog.version(), Version(7));
 }
@@ -84,9 +84,9 @@
     listed(3, "one", 1, "a", live),
     configured(4, 7, &[(1, "a")]),
   ];
-  first.offer(now, news(None, 5, &records));
+  first.offer(now, update(None, 5, &records));
   second.offer(now, first.since(Revision(0)));
-  first.offer(now, news(Some(5), 6, &[unlisted(6, "one")]));
+  first.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
   second.offer(now, first.since(second.complete()));
   assert_eq!(second.complete(), Revision(6));
   assert_eq!(second.version(), Version(7));
@@ -99,10 +99,10 @@
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
-  first.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
+  first.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   // It was removed from the target list before the second process started.
   let mut second = Catalog::default();
-  second.offer(now, news(None, 6, &[]));
+  second.offer(now, update(None, 6, &[]));
   first.offer(now, second.since(first.complete()));
   let (_, entry) = first.entries().next().expect("entry");
   assert!(entry.gone.is_some());
@@ -113,9 +113,9 @@
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
-  first.offer(now, news(None, 5, &[listed(5, "one", 1, "a", live)]));
+  first.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   let mut second = first.clone();
-  second.offer(now, news(Some(5), 6, &[unlisted(6, "one")]));
+  second.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
   second.expire(now + Duration::from_mins(5));
   first.offer(now, second.since(first.complete()));
   let (_, entry) = first.entries().next().expect("entry");
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/closures.rs
@@ -6,7 +6,7 @@
     plain::Packet,
     support::{
       Agent, Sent, Stepped, agent, carry, closure, configured, digest, elsewhere, flow, listed,
-      news, peer,
+      peer, update,
     },
   },
   assert_matches::assert_matches,
@@ -31,8 +31,8 @@
   catalog.closures().is_closed(LOCAL)
 }
 
-fn apply(catalog: &mut Catalog, news: Update) -> bool {
-  catalog.offer(Instant::now(), news).closures
+fn apply(catalog: &mut Catalog, update: Update) -> bool {
+  catalog.offer(Instant::now(), update).closures
 }
 
 #[test]
@@ -52,11 +52,14 @@
   ] {
     let mut catalog = Catalog::default();
     for index in order {
-      apply(&mut catalog, news(Some(4), 7, &records[index..=index]));
+      apply(&mut catalog, update(Some(4), 7, &records[index..=index]));
     }
     assert!(is_closed(&catalog), "{order:?}");
-    apply(&mut catalog, news(Some(7), 8, &[closure(8, LOCAL, false)]));
-    apply(&mut catalog, news(Some(4), 7, &records));
+    apply(
+      &mut catalog,
+      update(Some(7), 8, &[closure(8, LOCAL, false)]),
+    );
+    apply(&mut catalog, update(Some(4), 7, &records));
     assert!(!is_closed(&catalog), "{order:?}");
   }
 }
@@ -66,16 +69,16 @@
   let mut catalog = Catalog::default();
   assert!(apply(
     &mut catalog,
-    news(Some(0), 5, &[closure(5, LOCAL, true)])
+    update(Some(0), 5, &[closure(5, LOCAL, true)])
   ));
-  assert!(!apply(&mut catalog, news(None, 4, &[])));
+  assert!(!apply(&mut catalog, update(None, 4, &[])));
   assert!(is_closed(&catalog));
-  assert!(apply(&mut catalog, news(None, 6, &[])));
+  assert!(apply(&mut catalog, update(None, 6, &[])));
   assert!(!is_closed(&catalog));
   // A late record of the evacuation.
   assert!(!apply(
     &mut catalog,
-    news(Some(4), 5, &[closure(5, LOCAL, true)])
+    update(Some(4), 5, &[closure(5, LOCAL, true)])
   ));
   assert!(!is_closed(&catalog));
 }
@@ -84,7 +87,7 @@
 fn a_new_process_learns_what_is_closed() {
   let mut sender = Catalog::default();
   let records = [closure(5, LOCAL, true), closure(6, REMOTE, false)];
-  apply(&mut sender, news(Some(0), 6, &records));
+  apply(&mut sender, update(Some(0), 6, &records));
   let mut started = Catalog::default();
   apply(&mut started, sender.since(Revision::default()));
   assert!(is_closed(&started));
@@ -92,7 +95,7 @@
   let mut restarted = Catalog::default();
   apply(
     &mut restarted,
-    news(Some(0), 4, &[closure(4, REMOTE, true)]),
+    update(Some(0), 4, &[closure(4, REMOTE, true)]),
   );
   apply(&mut restarted, sender.since(Revision(4)));
   assert!(!restarted.closures().is_closed(REMOTE));
@@ -102,14 +105,14 @@
 fn with_another() -> Balancer {
   let mut balancer = balancer();
   let records = [elsewhere(5, "up-13", 13, "a")];
-  balancer.platform(news(Some(4), 5, &records));
+  balancer.platform(update(Some(4), 5, &records));
   feed_status(&mut balancer, 13, 1, Load::default());
   balancer
 }
 
 fn close(balancer: &mut Balancer, after: u64, data_centre: &str, closed: bool) -> Vec<Sent> {
   let records = [closure(after + 1, data_centre, closed)];
-  balancer.platform(news(Some(after), after + 1, &records))
+  balancer.platform(update(Some(after), after + 1, &records))
 }
 
 #[test]
@@ -188,7 +191,7 @@
     listed(2, "up-11", 11, "a", Presence::Live),
     elsewhere(3, "up-13", 13, "a"),
   ];
-  balancer.platform(news(None, 3, &records));
+  balancer.platform(update(None, 3, &records));
   balancer.pass(age);
   close(&mut balancer, 3, LOCAL, true);
   for host in [11, 13] {
@@ -229,7 +232,7 @@
   agent.packet(answer);
   let data = Packet::data(flow(1, 1), 2, 101);
   carry_to(&mut agent, Purpose::Deliver, data);
-  agent.platform(news(Some(2), 3, &[closure(3, LOCAL, true)]));
+  agent.platform(update(Some(2), 3, &[closure(3, LOCAL, true)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(2, 1), 0));
   assert_matches!(
     &sent[..],
@@ -240,7 +243,7 @@
   let data = Packet::data(flow(1, 1), 12, 101);
   let sent = carry_to(&mut agent, Purpose::Deliver, data);
   assert_eq!(sent, [Sent::Upstream(data)]);
-  agent.platform(news(Some(3), 4, &[closure(4, LOCAL, false)]));
+  agent.platform(update(Some(3), 4, &[closure(4, LOCAL, false)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(3, 1), 0));
   assert_eq!(sent, [Sent::Upstream(Packet::open(flow(3, 1), 0))]);
 }
@@ -248,7 +251,7 @@
 #[test]
 fn an_agent_in_a_closed_data_centre_grants_no_slot() {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[closure(3, LOCAL, true)]));
+  agent.platform(update(Some(2), 3, &[closure(3, LOCAL, true)]));
   let backlog = Frame::Backlog {
     flows: 9,
     service: digest("a"),
@@ -259,10 +262,10 @@
 #[test]
 fn an_update_without_changes_is_pushed_too() {
   let mut balancer = balancer();
-  let sent = balancer.platform(news(Some(4), 9, &[]));
+  let sent = balancer.platform(update(Some(4), 9, &[]));
   let pushed = sent.iter().any(|sent| {
-    matches!(sent, Sent::Frame(to, Frame::Update(news), _)
-      if *to == peer(11) && news.to == Revision(9))
+    matches!(sent, Sent::Frame(to, Frame::Update(update), _)
+      if *to == peer(11) && update.to == Revision(9))
   });
   assert!(pushed, "{sent:?}");
 }
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -5,7 +5,7 @@
     balancing::{Balancer, balancer, carried, feed_status, is_reset},
     plain::Packet,
     support::{
-      Agent, Sent, Stepped, carry, closure, configured_cold, digest, flow, news, peer, warming,
+      Agent, Sent, Stepped, carry, closure, configured_cold, digest, flow, peer, update, warming,
     },
   },
   assert_matches::assert_matches,
@@ -33,7 +33,7 @@
 fn agent(first_start: bool, left: Duration) -> Agent {
   let mut agent = Stepped::agent(9, "a", first_start);
   let records = [configured(), warming(2, "up", 9, "a", left)];
-  agent.platform(news(None, 2, &records));
+  agent.platform(update(None, 2, &records));
   agent
 }
 
@@ -110,7 +110,7 @@
   let (_, most) = open_flows(&mut agent, Duration::from_millis(1800));
   assert_matches!(most, 1..=PER_SECOND);
   let record = warming(3, "up", 9, "a", Duration::ZERO);
-  agent.platform(news(Some(2), 3, &[record]));
+  agent.platform(update(Some(2), 3, &[record]));
   agent.pass(WINDOW);
   let (opened, _) = open_flows(&mut agent, Duration::from_millis(500));
   assert_eq!(opened, 50);
@@ -126,7 +126,7 @@
   let mut agent = self::agent(true, WARMUP);
   open_flows(&mut agent, Duration::from_millis(500));
   let record = warming(3, "up", 9, "a", Duration::ZERO);
-  agent.platform(news(Some(2), 3, &[record]));
+  agent.platform(update(Some(2), 3, &[record]));
   let (_, most) = open_flows(&mut agent, Duration::from_millis(900));
   assert_eq!(most, PER_SECOND);
 }
@@ -151,8 +151,8 @@
   let mut agent = agent(true, Duration::ZERO);
   let record = warming(4, "up", 9, "a", Duration::ZERO);
   let records = [closure(3, "default", true), record];
-  agent.platform(news(Some(2), 4, &records));
-  agent.platform(news(Some(4), 5, &[closure(5, "default", false)]));
+  agent.platform(update(Some(2), 4, &records));
+  agent.platform(update(Some(4), 5, &[closure(5, "default", false)]));
   let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_eq!(most, PER_SECOND);
 }
@@ -203,7 +203,7 @@
 fn balancer_with_limit() -> Balancer {
   let mut balancer = balancer();
   let record = configured_cold(5, 2, &[(1, "a"), (2, "b")], WARMUP, PER_SECOND as u16);
-  balancer.platform(news(Some(4), 5, &[record]));
+  balancer.platform(update(Some(4), 5, &[record]));
   balancer
 }
 
--- a/tests/datagram/failing.rs
+++ b/tests/datagram/failing.rs
@@ -5,7 +5,7 @@
   crate::{
     balancing::{Balancer, balancer, carried, feed_status},
     plain::Packet,
-    support::{Agent, agent, carry, flow, listed, news},
+    support::{Agent, agent, carry, flow, listed, update},
   },
   fallwell::{
     config::Presence,
@@ -101,7 +101,7 @@
 fn balancer_with_targets(failed: [u8; 3], work: [u16; 3]) -> Balancer {
   let mut balancer = balancer();
   let record = listed(5, "up-13", 13, "a", Presence::Live);
-  balancer.platform(news(Some(4), 5, &[record]));
+  balancer.platform(update(Some(4), 5, &[record]));
   for (host, (failed, work)) in (11..).zip(failed.into_iter().zip(work)) {
     feed_status(&mut balancer, host, 1, load_of(failed, work));
   }
--- a/tests/datagram/frame.rs
+++ b/tests/datagram/frame.rs
@@ -1,7 +1,7 @@
 //! Encoding of frames: decoding restores them, and rejects anything else.
 
 use {
-  crate::support::{configured, flow, found, news},
+  crate::support::{configured, flow, found, update},
   fallwell::{
     Code, Revision,
     datagram::{Frame, Version, frame::Purpose, service::Digest},
@@ -25,7 +25,7 @@
 
 #[test]
 fn truncated_frames_are_rejected() {
-  let frame = Frame::Update(news(Some(4), 5, &[configured(5, 7, &[(1, "a")])]));
+  let frame = Frame::Update(update(Some(4), 5, &[configured(5, 7, &[(1, "a")])]));
   let mut bytes = Vec::new();
   frame.encode(&mut bytes);
   for length in 0..bytes.len() {
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -1,7 +1,7 @@
 //! Which processes read the platform, and how updates reach the others.
 
 use {
-  crate::support::{configured, news, peer, settings},
+  crate::support::{configured, peer, settings, update},
   fallwell::{
     Revision,
     datagram::{
@@ -102,14 +102,14 @@
   let mut gossip = gossip(now, 1);
   let mut out = Outbox::default();
   let records = [configured(1, 7, &[(1, "a")])];
-  gossip.news(now, Origin::Platform, news(None, 1, &records), &mut out);
+  gossip.update(now, Origin::Platform, update(None, 1, &records), &mut out);
   let mut other = self::gossip(now, 2);
   let to_other = out.datagrams().iter().find(|sent| sent.to == peer(2));
   let (frame, _) = Frame::decode(out.bytes(to_other.expect("pushed"))).expect("frame");
   let Frame::Update(pushed) = frame else {
     panic!("{frame:?}");
   };
-  other.news(now, Origin::Peer(peer(1)), pushed, &mut Outbox::default());
+  other.update(now, Origin::Peer(peer(1)), pushed, &mut Outbox::default());
   assert_eq!(other.catalog().version(), Version(7));
 }
 
@@ -122,7 +122,7 @@
     .map(|number| (number, "service"))
     .collect::<Vec<_>>();
   let records = [configured(1, 7, &routes)];
-  gossip.news(now, Origin::Platform, news(None, 1, &records), &mut out);
+  gossip.update(now, Origin::Platform, update(None, 1, &records), &mut out);
   let (frame, _) = Frame::decode(out.bytes(&out.datagrams()[0])).expect("frame");
   assert!(matches!(frame, Frame::Status(status) if status.complete == Revision(1)));
 }
--- a/tests/datagram/grants.rs
+++ b/tests/datagram/grants.rs
@@ -5,7 +5,7 @@
   crate::{
     balancing::{Balancer, balancer, busy, carried, feed_status},
     plain::Packet,
-    support::{Agent, Sent, agent, carry, configured, digest, flow, listed, news, peer},
+    support::{Agent, Sent, agent, carry, configured, digest, flow, listed, peer, update},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -124,7 +124,7 @@
 fn a_draining_upstream_grants_nothing() {
   let mut agent = agent();
   let leaving = listed(3, "up", 9, "a", Presence::Leaving);
-  agent.platform(news(Some(2), 3, &[leaving]));
+  agent.platform(update(Some(2), 3, &[leaving]));
   assert_eq!(agent.frame(1, &backlog(40), &[]), []);
 }
 
@@ -202,7 +202,7 @@
 #[test]
 fn a_grant_for_a_route_without_the_service_is_released() {
   let mut balancer = balancer_with_queued_flow();
-  balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
+  balancer.platform(update(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
   assert_eq!(carried(&sent), []);
   assert_eq!(backlogs(&sent), [(peer(12), 0)]);
@@ -212,7 +212,7 @@
 fn a_grant_of_a_draining_target_is_not_used() {
   let mut balancer = balancer_with_queued_flow();
   let leaving = listed(5, "up-12", 12, "a", Presence::Leaving);
-  balancer.platform(news(Some(4), 5, &[leaving]));
+  balancer.platform(update(Some(4), 5, &[leaving]));
   let sent = balancer.frame(12, &Frame::Grant(Load::default()), &[]);
   assert_eq!(carried(&sent), []);
 }
@@ -221,7 +221,7 @@
 fn a_grant_of_a_fast_failing_target_is_not_used() {
   let mut balancer = balancer();
   let records = [listed(5, "up-13", 13, "a", Presence::Live)];
-  balancer.platform(news(Some(4), 5, &records));
+  balancer.platform(update(Some(4), 5, &records));
   let load = |service_ms, work| Load {
     service_ms,
     work,
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     balancing::{absent, feed_status as tell_load, is_reset, search},
-    support::{Stepped, flow, listed, news, settings, unlisted},
+    support::{Stepped, flow, listed, settings, unlisted, update},
   },
   fallwell::{
     Revision,
@@ -82,7 +82,7 @@
   let mut receivers = BTreeSet::new();
   // Its catalog is up to date, so that their confirmations of it count and it doesn't read the
   // platform.
-  let known = Event::Update(Origin::Peer(address(1)), news(None, 5, &[]));
+  let known = Event::Update(Origin::Peer(address(1)), update(None, 5, &[]));
   machine.step(now, known, &mut out);
   for step in 0..80 {
     for number in 1..=balancers {
@@ -138,9 +138,9 @@
       Presence::Live,
     )
   });
-  balancer.platform(news(None, 20, &records));
+  balancer.platform(update(None, 20, &records));
   let records = [listed(21, "up-11", 11, "a", Presence::Leaving)];
-  let sent = balancer.platform(news(Some(20), 21, &records));
+  let sent = balancer.platform(update(Some(20), 21, &records));
   for host in [11, 12, 13] {
     let pushed = sent.iter().any(|sent| {
       matches!(sent, crate::support::Sent::Frame(to, Frame::Update(_), _)
@@ -181,8 +181,8 @@
 fn reset_after(balancers: u32) -> u64 {
   let mut balancer = crate::balancing::balancer();
   let up = [listed(5, "up-13", 13, "a", Presence::Live)];
-  balancer.platform(news(Some(4), 5, &up));
-  balancer.platform(news(Some(5), 6, &[unlisted(6, "up-13")]));
+  balancer.platform(update(Some(4), 5, &up));
+  balancer.platform(update(Some(5), 6, &[unlisted(6, "up-13")]));
   for _ in 0..30 {
     balancer.pass(Duration::from_millis(100));
     for host in [11, 12, 21] {
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -7,7 +7,7 @@
       absent, balancer, carried, feed_balancer_status, feed_status, is_reset, queried, search,
     },
     plain::Packet,
-    support::{Sent, flow, found, news, peer, unlisted, upstream},
+    support::{Sent, flow, found, peer, unlisted, update, upstream},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -81,7 +81,7 @@
 #[test]
 fn a_balancer_sends_its_tombstones_on_request() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
+  balancer.platform(update(Some(4), 5, &[unlisted(5, "up-12")]));
   let sent = balancer.frame(2, &Frame::AskPast, &[]);
   assert_matches!(
     &sent[..],
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -6,7 +6,7 @@
     balancing::{Balancer, absent, balancer, carried, feed_status, is_reset, queried, search},
     plain::Packet,
     support::{
-      Sent, Stepped, configured, elsewhere, flow, found, listed, news, peer, unlisted, unsure,
+      Sent, Stepped, configured, elsewhere, flow, found, listed, peer, unlisted, unsure, update,
     },
   },
   assert_matches::assert_matches,
@@ -117,7 +117,7 @@
     let (revision, id) = (u64::from(host) - 8, format!("up-{host}"));
     listed(revision, &id, host, "a", Presence::Live)
   });
-  balancer.platform(news(Some(4), 7, &more));
+  balancer.platform(update(Some(4), 7, &more));
   assert_eq!(search(&mut balancer), [11, 12, 13, 14, 15]);
   balancer
 }
@@ -161,7 +161,7 @@
     let (revision, id) = (u64::from(host), format!("up-{host}"));
     listed(revision, &id, host, "a", Presence::Live)
   });
-  balancer.platform(news(Some(4), 100, &more.collect::<Vec<_>>()));
+  balancer.platform(update(Some(4), 100, &more.collect::<Vec<_>>()));
   search(&mut balancer);
   let unsure = unsure(flow(1, 1));
   let mut fan_outs = Vec::new();
@@ -181,7 +181,7 @@
     elsewhere(5, "up-13", 13, "a"),
     elsewhere(6, "up-14", 14, "a"),
   ];
-  balancer.platform(news(Some(4), 6, &remote));
+  balancer.platform(update(Some(4), 6, &remote));
   assert_eq!(search(&mut balancer), [11, 12]);
   balancer.frame(11, &absent(6), &[]);
   assert!(queried(&balancer.pass(Duration::ZERO)).is_empty());
@@ -196,7 +196,7 @@
 #[test]
 fn remote_targets_are_queried_soon_if_local_ones_do_not_answer() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
+  balancer.platform(update(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
   assert_eq!(search(&mut balancer), [11, 12]);
   assert_eq!(queried(&balancer.pass(Duration::from_millis(50))), [13]);
 }
@@ -249,7 +249,7 @@
 #[test]
 fn a_missing_answer_of_a_removed_target_counts_as_denial() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
+  balancer.platform(update(Some(4), 5, &[unlisted(5, "up-12")]));
   balancer.pass(Duration::from_secs(3));
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
@@ -260,7 +260,7 @@
 #[test]
 fn a_removed_target_that_is_alive_must_answer() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
+  balancer.platform(update(Some(4), 5, &[unlisted(5, "up-12")]));
   balancer.pass(Duration::from_secs(3));
   feed_status(&mut balancer, 12, 1, Load::default());
   search(&mut balancer);
@@ -293,7 +293,7 @@
 #[test]
 fn a_flow_without_known_targets_is_not_reset() {
   let mut balancer = Stepped::balancer(1, None);
-  balancer.platform(news(None, 1, &[configured(1, 1, &[(1, "a")])]));
+  balancer.platform(update(None, 1, &[configured(1, 1, &[(1, "a")])]));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_eq!(sent, []);
 }
@@ -304,7 +304,7 @@
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
   let listed = listed(5, "up-13", 13, "a", Presence::Live);
-  balancer.platform(news(Some(4), 5, &[listed]));
+  balancer.platform(update(Some(4), 5, &[listed]));
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   assert_eq!(queried(&balancer.pass(Duration::from_millis(1))), [13]);
--- a/tests/datagram/sharing.rs
+++ b/tests/datagram/sharing.rs
@@ -4,7 +4,7 @@
   crate::{
     balancing::{Balancer, carried, feed_status},
     plain::Packet,
-    support::{Stepped, configured, flow, listed, news},
+    support::{Stepped, configured, flow, listed, update},
   },
   fallwell::{config::Presence, datagram::Load},
   std::{collections::BTreeMap, ops::Range},
@@ -26,7 +26,7 @@
     listed(u64::from(host) + 2, &id, host, "a", Presence::Live)
   });
   let records = [configured(1, 1, &[(1, "a")])].into_iter().chain(listed);
-  balancer.platform(news(None, 300, &records.collect::<Vec<_>>()));
+  balancer.platform(update(None, 300, &records.collect::<Vec<_>>()));
   for host in hosts {
     feed_status(&mut balancer, host, 1, load(host));
   }
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -206,7 +206,7 @@
 }
 
 /// An update with records; a snapshot without `after`.
-pub fn news(after: Option<u64>, to: u64, records: &[Record]) -> Update {
+pub fn update(after: Option<u64>, to: u64, records: &[Record]) -> Update {
   Update {
     after: after.map(Revision),
     records: records.to_vec(),
@@ -230,7 +230,7 @@
     configured(1, 1, &[(1, "a")]),
     listed(2, "up", 9, "a", Presence::Live),
   ];
-  agent.platform(news(None, 2, &records));
+  agent.platform(update(None, 2, &records));
   agent
 }
 
@@ -376,8 +376,8 @@
   }
 
   /// Passes an update from the platform.
-  pub fn platform(&mut self, news: Update) -> Vec<Sent> {
-    self.step(Event::Update(Origin::Platform, news))
+  pub fn platform(&mut self, update: Update) -> Vec<Sent> {
+    self.step(Event::Update(Origin::Platform, update))
   }
 
   /// Advances the time and passes a tick.
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -5,7 +5,7 @@
   crate::{
     balancing::{balancer, carried, feed_status, is_reset, search},
     plain::{Kind, Packet},
-    support::{Agent, Sent, agent, carry, flow, found, listed, news, upstream},
+    support::{Agent, Sent, agent, carry, flow, found, listed, update, upstream},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -36,7 +36,7 @@
 fn a_late_record_of_a_previous_incarnation_changes_nothing() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, news(None, 2, &[incarnation(2, "up", 9, 200)]));
+  catalog.offer(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
   let mut late = incarnation(3, "up", 9, 100);
   if let Record::Target {
     target: Some(target),
@@ -45,7 +45,7 @@
   {
     target.presence = Presence::Leaving;
   }
-  let change = catalog.offer(now, news(Some(2), 3, &[late]));
+  let change = catalog.offer(now, update(Some(2), 3, &[late]));
   assert!(change.is_empty(), "{change:?}");
   let (_, entry) = catalog.at(upstream(9)).expect("listed");
   assert_eq!(entry.target.presence, Presence::Live);
@@ -55,16 +55,16 @@
 fn a_record_without_a_start_time_is_applied() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, news(None, 2, &[incarnation(2, "up", 9, 200)]));
+  catalog.offer(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
   let record = listed(3, "up", 9, "a", Presence::Leaving);
-  let change = catalog.offer(now, news(Some(2), 3, &[record]));
+  let change = catalog.offer(now, update(Some(2), 3, &[record]));
   assert_eq!(change.targets.len(), 1);
 }
 
 /// An agent whose upstream has opened `flow(1, 1)`, with a request of it in flight.
 fn with_flow() -> Agent {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[incarnation(3, "up", 9, 100)]));
+  agent.platform(update(Some(2), 3, &[incarnation(3, "up", 9, 100)]));
   agent.frame(
     1,
     &carry(Purpose::Open),
@@ -86,14 +86,14 @@
 fn requests_of_a_previous_incarnation_are_discarded() {
   let mut agent = with_flow();
   assert_eq!(work(&agent), 1);
-  agent.platform(news(Some(3), 4, &[incarnation(4, "up", 9, 200)]));
+  agent.platform(update(Some(3), 4, &[incarnation(4, "up", 9, 200)]));
   assert_eq!(work(&agent), 0);
 }
 
 #[test]
 fn a_record_of_the_same_incarnation_keeps_its_requests() {
   let mut agent = with_flow();
-  agent.platform(news(Some(3), 4, &[incarnation(4, "up", 9, 100)]));
+  agent.platform(update(Some(3), 4, &[incarnation(4, "up", 9, 100)]));
   assert_eq!(work(&agent), 1);
 }
 
@@ -174,7 +174,7 @@
 #[test]
 fn a_target_that_was_down_gets_new_flows_once_it_has_restarted() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[incarnation(5, "up-11", 11, 100)]));
+  balancer.platform(update(Some(4), 5, &[incarnation(5, "up-11", 11, 100)]));
   // The other target is busy, and this one reports that it is down.
   let busy = Load {
     service_ms: 40,
@@ -189,7 +189,7 @@
   feed_status(&mut balancer, 11, 1, down);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   assert_eq!(carried(&sent), [(12, Purpose::Open)]);
-  balancer.platform(news(Some(5), 6, &[incarnation(6, "up-11", 11, 200)]));
+  balancer.platform(update(Some(5), 6, &[incarnation(6, "up-11", 11, 200)]));
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), [(11, Purpose::Open)]);
 }
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -6,7 +6,7 @@
       Balancer, balancer, busy, carried, feed_status, is_reset, search, without_backlog,
     },
     plain::Packet,
-    support::{Sent, Stepped, configured, configured_first, elsewhere, flow, listed, news},
+    support::{Sent, Stepped, configured, configured_first, elsewhere, flow, listed, update},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -68,7 +68,7 @@
 #[test]
 fn a_free_remote_target_is_preferred_to_a_long_wait() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
+  balancer.platform(update(Some(4), 5, &[elsewhere(5, "up-13", 13, "a")]));
   // For requests of this size, a remote target costs more than any wait in this test.
   let large = |work| Load {
     bytes: 60_000,
@@ -122,7 +122,7 @@
 fn queued_flows_of_a_higher_priority_are_sent_first() {
   let mut balancer = balancer();
   let routes = [(1, "a"), (2, "b"), (3, "a")];
-  balancer.platform(news(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
+  balancer.platform(update(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
   saturate(&mut balancer);
   assert_eq!(balancer.packet(Packet::open(flow(1, 3), 0)), []);
   balancer.pass(Duration::from_millis(10));
@@ -138,7 +138,7 @@
 fn a_route_of_a_higher_priority_may_wait_longer_at_its_target() {
   let mut balancer = balancer();
   let routes = [(1, "a"), (2, "b"), (3, "a")];
-  balancer.platform(news(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
+  balancer.platform(update(Some(4), 5, &[configured_first(5, 2, &routes, 3)]));
   // With 4 slots and 40 ms, another request is answered after 130 ms of the 200 ms allowed.
   feed_status(&mut balancer, 11, 1, busy(12));
   feed_status(&mut balancer, 12, 1, busy(12));
@@ -227,7 +227,7 @@
     listed(2, "up-11", 11, "a", live),
     listed(3, "up-12", 12, "a", live),
   ];
-  balancer.platform(news(None, 3, &records));
+  balancer.platform(update(None, 3, &records));
   fill_queue(&mut balancer);
 }
 
@@ -268,7 +268,7 @@
   let mut balancer = balancer();
   saturate(&mut balancer);
   enqueue(&mut balancer, 1, 0);
-  balancer.platform(news(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
+  balancer.platform(update(Some(4), 5, &[configured(5, 2, &[(2, "b")])]));
   feed_status(&mut balancer, 12, 1, busy(0));
   assert_eq!(carried(&balancer.pass(Duration::from_millis(10))), []);
 }
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -9,7 +9,7 @@
     },
     plain::Packet,
     support::{
-      Sent, agent, backends, carry, configured, configured_weighted, flow, news, peer, unlisted,
+      Sent, agent, backends, carry, configured, configured_weighted, flow, peer, unlisted, update,
       upstream,
     },
   },
@@ -114,7 +114,7 @@
 /// A balancer with two targets of service `a` and one of `b`, and a route to both.
 fn balancer_with_split(a: u32, b: u32) -> Balancer {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[split_record(5, 2, a, b)]));
+  balancer.platform(update(Some(4), 5, &[split_record(5, 2, a, b)]));
   balancer
 }
 
@@ -150,7 +150,7 @@
 #[test]
 fn flows_of_a_service_without_targets_go_to_the_other_services_of_the_route() {
   let mut balancer = balancer_with_split(1, 99);
-  balancer.platform(news(Some(5), 6, &[unlisted(6, "up-21")]));
+  balancer.platform(update(Some(5), 6, &[unlisted(6, "up-21")]));
   balancer.pass(Duration::from_secs(3));
   for host in [11, 12] {
     feed_status(&mut balancer, host, 1, Load::default());
@@ -172,7 +172,7 @@
   let mut balancer = balancer_with_split(0, 1);
   assert_eq!(open_flow(&mut balancer, flow(1, 1)), 21);
   balancer.frame(21, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  balancer.platform(update(Some(5), 6, &[split_record(6, 3, 1, 0)]));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_matches!(
     &sent[..],
@@ -186,7 +186,7 @@
   let mut balancer = balancer_with_split(0, 1);
   assert_eq!(open_flow(&mut balancer, flow(1, 1)), 21);
   balancer.frame(21, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  balancer.platform(update(Some(5), 6, &[split_record(6, 3, 1, 0)]));
   assert_ne!(open_flow(&mut balancer, flow(1, 1)), 21);
 }
 
@@ -215,7 +215,7 @@
 #[test]
 fn a_flow_is_found_at_a_service_whose_weight_became_zero() {
   let mut balancer = balancer_with_split(90, 10);
-  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  balancer.platform(update(Some(5), 6, &[split_record(6, 3, 1, 0)]));
   check_found_at_b(&mut balancer);
 }
 
@@ -223,16 +223,16 @@
 fn a_flow_is_found_at_a_service_that_its_route_no_longer_names() {
   let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
-  balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
+  balancer.platform(update(Some(5), 6, &[configured(6, 3, &routes)]));
   check_found_at_b(&mut balancer);
 }
 
 #[test]
 fn a_flow_is_found_after_its_route_was_removed_and_added_again() {
   let mut balancer = balancer_with_split(90, 10);
-  balancer.platform(news(Some(5), 6, &[configured(6, 3, &[(2, "b")])]));
+  balancer.platform(update(Some(5), 6, &[configured(6, 3, &[(2, "b")])]));
   let routes = [(1, "a"), (2, "b")];
-  balancer.platform(news(Some(6), 7, &[configured(7, 4, &routes)]));
+  balancer.platform(update(Some(6), 7, &[configured(7, 4, &routes)]));
   check_found_at_b(&mut balancer);
 }
 
@@ -240,9 +240,9 @@
 fn a_flow_is_found_after_several_changes_of_its_route() {
   let mut balancer = balancer_with_split(0, 1);
   let routes = [(1, "a"), (2, "b")];
-  balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
+  balancer.platform(update(Some(5), 6, &[configured(6, 3, &routes)]));
   let third = [(1, vec![("a", 1), ("c", 1)]), (2, vec![("b", 1)])];
-  balancer.platform(news(Some(6), 7, &[configured_weighted(7, 4, &third)]));
+  balancer.platform(update(Some(6), 7, &[configured_weighted(7, 4, &third)]));
   check_found_at_b(&mut balancer);
 }
 
@@ -250,7 +250,7 @@
 fn a_former_backend_is_not_queried_after_the_lifetime_of_flows() {
   let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
-  balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
+  balancer.platform(update(Some(5), 6, &[configured(6, 3, &routes)]));
   balancer.pass(Duration::from_secs(80));
   for host in [11, 12, 21] {
     feed_status(&mut balancer, host, 1, Load::default());
@@ -295,7 +295,7 @@
 fn a_balancer_sends_its_former_backends_on_request() {
   let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
-  balancer.platform(news(Some(5), 6, &[configured(6, 3, &routes)]));
+  balancer.platform(update(Some(5), 6, &[configured(6, 3, &routes)]));
   let sent = balancer.frame(2, &Frame::AskPast, &[]);
   assert_matches!(
     &sent[..],
@@ -318,10 +318,10 @@
     lost: false,
   };
   balancer.frame(21, &absent, &[]);
-  balancer.platform(news(Some(5), 6, &[split_record(6, 3, 1, 0)]));
+  balancer.platform(update(Some(5), 6, &[split_record(6, 3, 1, 0)]));
   // The tombstone belongs to service `b` and is not queried about flows to `a`.
   let routes = [(1, "b"), (3, "a")];
-  balancer.platform(news(Some(6), 7, &[configured(7, 4, &routes)]));
+  balancer.platform(update(Some(6), 7, &[configured(7, 4, &routes)]));
   balancer.packet(Packet::data(flow(1, 3), 2, 100));
   let mut queried = Vec::new();
   for _ in 0..3 {
@@ -339,7 +339,7 @@
 #[test]
 fn an_agent_rejects_a_new_flow_that_is_routed_to_another_service() {
   let mut agent = agent();
-  agent.platform(news(Some(2), 3, &[split_record(3, 2, 0, 1)]));
+  agent.platform(update(Some(2), 3, &[split_record(3, 2, 0, 1)]));
   let packet = Packet::open(flow(1, 1), 0);
   // The sender has an older configuration.
   let sent = agent.frame(1, &carry(Purpose::Open), &packet.write());
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -500,7 +500,7 @@
           bytes: &bytes,
         },
       ),
-      Item::Update(host, origin, news) => self.step(host, Event::Update(origin, news)),
+      Item::Update(host, origin, update) => self.step(host, Event::Update(origin, update)),
       Item::Packet(host, mut bytes) => self.step(host, Event::Packet(&mut bytes)),
       Item::Read(host) => self.read(host),
       Item::Tick(host) => self.tick(host),
@@ -538,12 +538,12 @@
       let records = self.records.values();
       let records = records.filter(|record| record.revision() > complete);
       let present = records.filter(|record| !whole || Self::is_in_snapshot(record));
-      let news = Update {
+      let update = Update {
         after: (!whole).then_some(complete),
         records: present.cloned().collect(),
         to: Revision(self.revision),
       };
-      self.schedule(4, Item::Update(host, Origin::Platform, news));
+      self.schedule(4, Item::Update(host, Origin::Platform, update));
     }
     self.schedule(READ_INTERVAL_MS, Item::Read(host));
   }
@@ -574,8 +574,8 @@
   fn pull_from_peer(&mut self, host: u8, from: SocketAddrV4, after: Revision) {
     let other = self.nodes.get_mut(&from.ip().octets()[3]);
     if let Some(other) = other {
-      let news = other.machine().gossip().catalog().since(after);
-      self.schedule(6, Item::Update(host, Origin::Peer(from), news));
+      let update = other.machine().gossip().catalog().since(after);
+      self.schedule(6, Item::Update(host, Origin::Peer(from), update));
     }
   }
 
