--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -10,9 +10,9 @@
 pub mod bundle;
 mod catalog;
 mod changed;
-mod closures;
 mod codec;
 mod configuration;
+mod evacuations;
 /// The events that a machine handles, and the interface of a machine.
 pub mod event;
 mod flow;
@@ -39,9 +39,9 @@
 pub use {
   backends::{Backend, Backends, Weight},
   catalog::{Catalog, Change, Entry},
-  closures::Closures,
   codec::Codec,
   configuration::{Configuration, Route, Version},
+  evacuations::Evacuations,
   event::{Event, Machine, Origin},
   flow::{Flow, FlowInvalid},
   former::Former,
--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -75,8 +75,8 @@
 
   /// Takes from the catalog whether the data centre is closed and how much of the warm-up is left.
   pub(super) fn update_admission(&mut self, now: Instant) {
-    let closures = self.gossip.catalog().closures();
-    let closed = closures.is_closed(&self.data_centre);
+    let evacuations = self.gossip.catalog().evacuations();
+    let closed = evacuations.is_closed(&self.data_centre);
     if closed != self.closed_from.is_some() {
       log::info!(
         data_centre:% = self.data_centre, closed = closed;
@@ -85,7 +85,7 @@
       let delay = self.gossip.closing_left().mul_f64(CLOSE_DELAY_FACTOR);
       self.closed_from = closed.then_some(now + delay);
     }
-    if let Some(opened) = closures.opened(&self.data_centre) {
+    if let Some(opened) = evacuations.opened(&self.data_centre) {
       self.cold.suspect_reopened(now, opened);
     }
     // A tombstone says nothing of the upstream's next incarnation.
--- a/src/datagram/balancer.rs
+++ b/src/datagram/balancer.rs
@@ -3,10 +3,10 @@
 
 mod announced;
 mod choosing;
-mod closures;
 mod cost;
 mod egress;
 mod ending;
+mod evacuations;
 mod frames;
 mod history;
 mod machine;
--- a/src/datagram/balancer/choosing.rs
+++ b/src/datagram/balancer/choosing.rs
@@ -136,7 +136,7 @@
     let warmup = self.warmups.get(service);
     let listed = self.by_agent.values();
     let listed = listed.filter(|target| target.service == *service && target.gone.is_none());
-    let open = listed.filter(|target| !self.closures.is_closed(now, &target.data_centre));
+    let open = listed.filter(|target| !self.evacuations.is_closed(now, &target.data_centre));
     let rates = open.map(|target| {
       let rate = f64::from(target.slots) * 1000.0 / target.load.time_ms();
       match warmup {
--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -79,7 +79,8 @@
 impl Targets {
   /// The cost of a new flow at a target, in milliseconds; none if the target accepts no new flows.
   pub(super) fn cost(&self, now: Instant, target: &TargetState, medians: Medians) -> Option<f64> {
-    if target.presence == Presence::Leaving || self.closures.is_closed(now, &target.data_centre) {
+    if target.presence == Presence::Leaving || self.evacuations.is_closed(now, &target.data_centre)
+    {
       return None;
     }
     let mut cost = 0.0;
--- a/src/datagram/balancer/closures.rs
+++ b/src/datagram/balancer/evacuations.rs
@@ -13,14 +13,14 @@
 /// The data centres that are closed to new flows, by the platform's records or by refusals of
 /// agents.
 #[derive(Debug, Default)]
-pub struct Closures {
+pub struct Evacuations {
   /// From when on each data centre in the platform's records is closed.
   listed: BTreeMap<String, Instant>,
   /// When an agent of each data centre last refused a flow for this reason.
   refusals: BTreeMap<String, Instant>,
 }
 
-impl Closures {
+impl Evacuations {
   /// Records that an agent refuses flows because its data centre is closed.
   pub fn record_refusal(&mut self, now: Instant, data_centre: &str) {
     self.refusals.insert(data_centre.to_owned(), now);
@@ -38,7 +38,7 @@
 
   /// Takes over the closed data centres of the platform's records; new ones are closed from `from`
   /// on.
-  pub fn update(&mut self, listed: &datagram::Closures, from: Instant) {
+  pub fn update(&mut self, listed: &datagram::Evacuations, from: Instant) {
     self.listed.retain(|name, _| listed.is_closed(name));
     for name in listed.closed() {
       self.listed.entry(name.to_owned()).or_insert(from);
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -101,10 +101,10 @@
   }
 
   pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
-    if change.closures {
-      let listed = self.gossip.catalog().closures();
+    if change.evacuations {
+      let listed = self.gossip.catalog().evacuations();
       let from = now + self.gossip.closing_left().mul_f64(self.evacuation_fraction);
-      self.targets.closures.update(listed, from);
+      self.targets.evacuations.update(listed, from);
     }
     if !change.is_empty() {
       self.targets.update(self.gossip.catalog());
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -1,5 +1,5 @@
 use {
-  super::closures::Closures,
+  super::evacuations::Evacuations,
   crate::{
     config::Presence,
     datagram::{
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 pub struct Targets {
   pub(super) by_agent: BTreeMap<SocketAddrV4, TargetState>,
-  pub(super) closures: Closures,
+  pub(super) evacuations: Evacuations,
   pub(super) data_centre: String,
   /// Targets that were removed before this process saw them listed, as reported by agents and
   /// peers.
@@ -128,7 +128,7 @@
   pub fn new(now: Instant, data_centre: String, port: u16, tuning: &Tuning) -> Self {
     Self {
       by_agent: BTreeMap::new(),
-      closures: Closures::default(),
+      evacuations: Evacuations::default(),
       data_centre,
       past: BTreeMap::new(),
       port,
@@ -270,7 +270,7 @@
   /// Records that an agent refuses new flows because its data centre is closed.
   pub fn record_closed(&mut self, now: Instant, agent: SocketAddrV4) {
     if let Some(target) = self.by_agent.get(&agent) {
-      self.closures.record_refusal(now, &target.data_centre);
+      self.evacuations.record_refusal(now, &target.data_centre);
     }
   }
 
@@ -281,7 +281,7 @@
       .filter(|target| target.service == *service && target.gone.is_none())
       .peekable();
     listed.peek().is_some()
-      && listed.all(|target| self.closures.is_closed(now, &target.data_centre))
+      && listed.all(|target| self.evacuations.is_closed(now, &target.data_centre))
   }
 
   /// Counts an opening packet that was sent to an agent, until it reports its load.
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -1,6 +1,6 @@
 use {
   super::{
-    Closures, Configuration, Former, Record, Route, Service, Target, Update, Warmup,
+    Configuration, Evacuations, Former, Record, Route, Service, Target, Update, Warmup,
     changed::Changed, target,
   },
   crate::Revision,
@@ -31,7 +31,7 @@
 /// newer one, whoever sends it.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-  closures: Closures,
+  evacuations: Evacuations,
   complete: Revision,
   /// The latest change of each route since the first configuration received here, including removed
   /// routes.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Change {
   /// Whether a data centre was evacuated, or opened again.
-  pub closures: bool,
+  pub evacuations: bool,
   /// Whether another configuration is in force.
   pub configuration: bool,
   /// The targets that were added, changed or removed.
@@ -57,14 +57,14 @@
 impl Change {
   /// Whether nothing changed.
   pub fn is_empty(&self) -> bool {
-    !self.closures && !self.configuration && self.targets.is_empty()
+    !self.evacuations && !self.configuration && self.targets.is_empty()
   }
 }
 
 impl Catalog {
   /// The data centres that are closed to new flows.
-  pub fn closures(&self) -> &Closures {
-    &self.closures
+  pub fn evacuations(&self) -> &Evacuations {
+    &self.evacuations
   }
 
   /// The revision up to which no record is missing.
@@ -177,7 +177,7 @@
     let configuration = configuration.filter(|(revision, _)| *revision > oldest);
     let configuration =
       configuration.map(|(revision, current)| self.changed.record(current, oldest, *revision));
-    let closures = self.closures.since(oldest);
+    let evacuations = self.evacuations.since(oldest);
     let targets = self.targets.iter();
     let targets = targets.filter(|(_, entry)| entry.revision > oldest);
     let targets = targets.map(|(id, entry)| Record::Target {
@@ -187,7 +187,7 @@
     });
     Update {
       after: (!snapshot).then_some(after),
-      records: closures.chain(configuration).chain(targets).collect(),
+      records: evacuations.chain(configuration).chain(targets).collect(),
       to: self.complete,
     }
   }
@@ -207,11 +207,11 @@
 
   fn apply(&mut self, now: Instant, record: Record, change: &mut Change) {
     match record {
-      Record::Closure {
+      Record::Evacuation {
         closed,
         data_centre,
         revision,
-      } => change.closures |= self.closures.apply(data_centre, closed, revision),
+      } => change.evacuations |= self.evacuations.apply(data_centre, closed, revision),
       Record::Configuration {
         configuration,
         revision,
@@ -295,7 +295,7 @@
 
   /// Removes the targets and reopens the data centres that a snapshot doesn't list.
   fn drop_unlisted(&mut self, now: Instant, to: Revision, listed: &Listed, change: &mut Change) {
-    change.closures |= self.closures.drop_unlisted(to, &listed.closed);
+    change.evacuations |= self.evacuations.drop_unlisted(to, &listed.closed);
     for (id, entry) in &mut self.targets {
       if entry.gone.is_none() && entry.revision < to && !listed.targets.contains(id) {
         entry.gone = Some(now);
@@ -318,7 +318,7 @@
     let mut listed = Self::default();
     for record in &update.records {
       match record {
-        Record::Closure { data_centre, .. } => {
+        Record::Evacuation { data_centre, .. } => {
           listed.closed.insert(data_centre.clone());
         }
         Record::Amendment { .. } | Record::Configuration { .. } => {}
--- a/src/datagram/closures.rs
+++ b/src/datagram/evacuations.rs
@@ -7,23 +7,23 @@
 /// The data centres that are closed to new flows. A record that is older than the known one of its
 /// data centre is ignored, whoever sends it.
 #[derive(Clone, Debug, Default)]
-pub struct Closures {
+pub struct Evacuations {
   /// The latest record of each data centre that was ever closed; kept after it reopens, so that an
   /// older record can't close it again.
-  closures: BTreeMap<String, Closure>,
+  evacuations: BTreeMap<String, Evacuation>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Closure {
+struct Evacuation {
   closed: bool,
   revision: Revision,
 }
 
-impl Closures {
+impl Evacuations {
   /// The names of the closed data centres.
   pub fn closed(&self) -> impl Iterator<Item = &str> {
-    let closed = self.closures.iter();
-    let closed = closed.filter(|(_, closure)| closure.closed);
+    let closed = self.evacuations.iter();
+    let closed = closed.filter(|(_, evacuation)| evacuation.closed);
     closed.map(|(data_centre, _)| data_centre.as_str())
   }
 
@@ -31,9 +31,9 @@
   /// there was any.
   pub fn drop_unlisted(&mut self, to: Revision, listed: &BTreeSet<String>) -> bool {
     let mut dropped = false;
-    for (data_centre, closure) in &mut self.closures {
-      if closure.closed && closure.revision < to && !listed.contains(data_centre) {
-        *closure = Closure {
+    for (data_centre, evacuation) in &mut self.evacuations {
+      if evacuation.closed && evacuation.revision < to && !listed.contains(data_centre) {
+        *evacuation = Evacuation {
           closed: false,
           revision: to,
         };
@@ -45,38 +45,38 @@
 
   /// Whether a data centre is closed.
   pub fn is_closed(&self, data_centre: &str) -> bool {
-    let closure = self.closures.get(data_centre);
-    closure.is_some_and(|closure| closure.closed)
+    let evacuation = self.evacuations.get(data_centre);
+    evacuation.is_some_and(|evacuation| evacuation.closed)
   }
 
   /// The revision at which a data centre was opened again; none while it is closed, or if it never
   /// was.
   pub fn opened(&self, data_centre: &str) -> Option<Revision> {
-    let closure = self.closures.get(data_centre)?;
-    (!closure.closed).then_some(closure.revision)
+    let evacuation = self.evacuations.get(data_centre)?;
+    (!evacuation.closed).then_some(evacuation.revision)
   }
 
   /// The records after a revision.
   pub fn since(&self, after: Revision) -> impl Iterator<Item = Record> {
-    let closures = self.closures.iter();
-    let newer = closures.filter(move |(_, closure)| closure.revision > after);
-    newer.map(|(data_centre, closure)| Record::Closure {
-      closed: closure.closed,
+    let evacuations = self.evacuations.iter();
+    let newer = evacuations.filter(move |(_, evacuation)| evacuation.revision > after);
+    newer.map(|(data_centre, evacuation)| Record::Evacuation {
+      closed: evacuation.closed,
       data_centre: data_centre.clone(),
-      revision: closure.revision,
+      revision: evacuation.revision,
     })
   }
 
   /// Applies a record; true if it is newer than the known one. A data centre that is open both
   /// before and after may have been closed in between.
   pub fn apply(&mut self, data_centre: String, closed: bool, revision: Revision) -> bool {
-    let known = self.closures.get(&data_centre);
+    let known = self.evacuations.get(&data_centre);
     if known.is_some_and(|known| known.revision >= revision) {
       return false;
     }
     self
-      .closures
-      .insert(data_centre, Closure { closed, revision });
+      .evacuations
+      .insert(data_centre, Evacuation { closed, revision });
     true
   }
 }
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -229,7 +229,7 @@
     } else {
       self.pull = None;
     }
-    if change.closures {
+    if change.evacuations {
       self.closing_left = age.map_or(Duration::ZERO, |age| self.closing.saturating_sub(age));
     }
     if !change.is_empty() {
@@ -327,7 +327,7 @@
     });
     json!({
       "address": self.address.to_string(),
-      "closed": self.catalog.closures().closed().collect::<Vec<_>>(),
+      "closed": self.catalog.evacuations().closed().collect::<Vec<_>>(),
       "complete": self.catalog.complete(),
       "confirmed_ms": self.confirmed.map(age),
       "incarnation": self.incarnation,
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -32,8 +32,8 @@
   let listed = entries.filter(|(_, entry)| entry.gone.is_none());
   let listed = listed.collect::<Vec<_>>();
   let leaving = listed.iter().filter(|(_, entry)| is_leaving(entry)).count();
-  let closures = catalog.closures();
-  let is_closed = |entry: &Entry| closures.is_closed(&entry.target.data_centre);
+  let evacuations = catalog.evacuations();
+  let is_closed = |entry: &Entry| evacuations.is_closed(&entry.target.data_centre);
   let closed = listed.iter().filter(|(_, entry)| is_closed(entry)).count();
   let targets = listed.iter().map(|(id, entry)| {
     json!({
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Record {
   /// An operator's order that closes a data centre to new flows, or opens it again.
-  Closure {
+  Evacuation {
     /// Whether it is closed.
     closed: bool,
     /// Its name.
@@ -82,7 +82,7 @@
   pub fn revision(&self) -> Revision {
     match self {
       Self::Amendment { revision, .. }
-      | Self::Closure { revision, .. }
+      | Self::Evacuation { revision, .. }
       | Self::Configuration { revision, .. }
       | Self::Target { revision, .. } => *revision,
     }
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -5,7 +5,7 @@
     balancing::{Balancer, balancer, carried, feed_status, is_reset},
     plain::Packet,
     support::{
-      Agent, Sent, Stepped, carry, closure, configured_cold, digest, flow, peer, update, warming,
+      Agent, Sent, Stepped, carry, configured_cold, digest, evacuation, flow, peer, update, warming,
     },
   },
   assert_matches::assert_matches,
@@ -150,9 +150,9 @@
 fn flows_are_limited_after_the_data_centre_is_opened_again() {
   let mut agent = agent(true, Duration::ZERO);
   let record = warming(4, "up", 9, "a", Duration::ZERO);
-  let records = [closure(3, "default", true), record];
+  let records = [evacuation(3, "default", true), record];
   agent.platform(update(Some(2), 4, &records));
-  agent.platform(update(Some(4), 5, &[closure(5, "default", false)]));
+  agent.platform(update(Some(4), 5, &[evacuation(5, "default", false)]));
   let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_eq!(most, PER_SECOND);
 }
--- a/tests/datagram/closures.rs
+++ b/tests/datagram/evacuations.rs
@@ -5,7 +5,7 @@
     balancing::{Balancer, balancer, busy, carried, feed_status, is_reset},
     plain::Packet,
     support::{
-      Agent, Sent, Stepped, agent, carry, closure, configured, digest, elsewhere, flow, listed,
+      Agent, Sent, Stepped, agent, carry, configured, digest, elsewhere, evacuation, flow, listed,
       peer, update,
     },
   },
@@ -28,19 +28,19 @@
 const REMOTE: &str = "elsewhere";
 
 fn is_closed(catalog: &Catalog) -> bool {
-  catalog.closures().is_closed(LOCAL)
+  catalog.evacuations().is_closed(LOCAL)
 }
 
 fn apply(catalog: &mut Catalog, update: Update) -> bool {
-  catalog.offer(Instant::now(), update).closures
+  catalog.offer(Instant::now(), update).evacuations
 }
 
 #[test]
 fn the_latest_record_of_a_data_centre_wins_in_any_order() {
   let records = [
-    closure(5, LOCAL, true),
-    closure(6, LOCAL, false),
-    closure(7, LOCAL, true),
+    evacuation(5, LOCAL, true),
+    evacuation(6, LOCAL, false),
+    evacuation(7, LOCAL, true),
   ];
   for order in [
     [0, 1, 2],
@@ -57,7 +57,7 @@
     assert!(is_closed(&catalog), "{order:?}");
     apply(
       &mut catalog,
-      update(Some(7), 8, &[closure(8, LOCAL, false)]),
+      update(Some(7), 8, &[evacuation(8, LOCAL, false)]),
     );
     apply(&mut catalog, update(Some(4), 7, &records));
     assert!(!is_closed(&catalog), "{order:?}");
@@ -69,7 +69,7 @@
   let mut catalog = Catalog::default();
   assert!(apply(
     &mut catalog,
-    update(Some(0), 5, &[closure(5, LOCAL, true)])
+    update(Some(0), 5, &[evacuation(5, LOCAL, true)])
   ));
   assert!(!apply(&mut catalog, update(None, 4, &[])));
   assert!(is_closed(&catalog));
@@ -78,7 +78,7 @@
   // A late record of the evacuation.
   assert!(!apply(
     &mut catalog,
-    update(Some(4), 5, &[closure(5, LOCAL, true)])
+    update(Some(4), 5, &[evacuation(5, LOCAL, true)])
   ));
   assert!(!is_closed(&catalog));
 }
@@ -86,7 +86,7 @@
 #[test]
 fn a_new_process_learns_what_is_closed() {
   let mut sender = Catalog::default();
-  let records = [closure(5, LOCAL, true), closure(6, REMOTE, false)];
+  let records = [evacuation(5, LOCAL, true), evacuation(6, REMOTE, false)];
   apply(&mut sender, update(Some(0), 6, &records));
   let mut started = Catalog::default();
   apply(&mut started, sender.since(Revision::default()));
@@ -95,10 +95,10 @@
   let mut restarted = Catalog::default();
   apply(
     &mut restarted,
-    update(Some(0), 4, &[closure(4, REMOTE, true)]),
+    update(Some(0), 4, &[evacuation(4, REMOTE, true)]),
   );
   apply(&mut restarted, sender.since(Revision(4)));
-  assert!(!restarted.closures().is_closed(REMOTE));
+  assert!(!restarted.evacuations().is_closed(REMOTE));
 }
 
 /// A balancer with two targets of service `a` in its own data centre and one elsewhere.
@@ -111,7 +111,7 @@
 }
 
 fn close(balancer: &mut Balancer, after: u64, data_centre: &str, closed: bool) -> Vec<Sent> {
-  let records = [closure(after + 1, data_centre, closed)];
+  let records = [evacuation(after + 1, data_centre, closed)];
   balancer.platform(update(Some(after), after + 1, &records))
 }
 
@@ -232,7 +232,7 @@
   agent.packet(answer);
   let data = Packet::data(flow(1, 1), 2, 101);
   carry_to(&mut agent, Purpose::Deliver, data);
-  agent.platform(update(Some(2), 3, &[closure(3, LOCAL, true)]));
+  agent.platform(update(Some(2), 3, &[evacuation(3, LOCAL, true)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(2, 1), 0));
   assert_matches!(
     &sent[..],
@@ -243,7 +243,7 @@
   let data = Packet::data(flow(1, 1), 12, 101);
   let sent = carry_to(&mut agent, Purpose::Deliver, data);
   assert_eq!(sent, [Sent::Upstream(data)]);
-  agent.platform(update(Some(3), 4, &[closure(4, LOCAL, false)]));
+  agent.platform(update(Some(3), 4, &[evacuation(4, LOCAL, false)]));
   let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(3, 1), 0));
   assert_eq!(sent, [Sent::Upstream(Packet::open(flow(3, 1), 0))]);
 }
@@ -251,7 +251,7 @@
 #[test]
 fn an_agent_in_a_closed_data_centre_grants_no_slot() {
   let mut agent = agent();
-  agent.platform(update(Some(2), 3, &[closure(3, LOCAL, true)]));
+  agent.platform(update(Some(2), 3, &[evacuation(3, LOCAL, true)]));
   let backlog = Frame::Backlog {
     flows: 9,
     service: digest("a"),
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -188,8 +188,8 @@
 }
 
 /// The record that a data centre is closed to new flows, or opened again.
-pub fn closure(revision: u64, data_centre: &str, closed: bool) -> Record {
-  Record::Closure {
+pub fn evacuation(revision: u64, data_centre: &str, closed: bool) -> Record {
+  Record::Evacuation {
     closed,
     data_centre: data_centre.into(),
     revision: Revision(revision),
--- a/tests/datagram/world/data_centres.rs
+++ b/tests/datagram/world/data_centres.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{Item, World},
-  crate::support::{closure, configured_cold, warming},
+  crate::support::{configured_cold, evacuation, warming},
   fallwell::{
     Revision,
     datagram::{Flow, Record},
@@ -77,7 +77,7 @@
     let revision = self.next_revision();
     self
       .records
-      .insert(key(data_centre), closure(revision, data_centre, true));
+      .insert(key(data_centre), evacuation(revision, data_centre, true));
     if let Some(data_centres) = &mut self.data_centres {
       data_centres.closed.entry(data_centre).or_insert(now);
     }
@@ -96,7 +96,7 @@
     let revision = self.next_revision();
     self
       .records
-      .insert(key(data_centre), closure(revision, data_centre, false));
+      .insert(key(data_centre), evacuation(revision, data_centre, false));
     let was_evacuated = self.now > since + CLOSED_AFTER_MS;
     for host in self.targets() {
       if was_evacuated && self.data_centre(host) == data_centre {
@@ -214,7 +214,7 @@
   pub(super) fn is_in_snapshot(record: &Record) -> bool {
     !matches!(
       record,
-      Record::Closure { closed: false, .. } | Record::Target { target: None, .. }
+      Record::Evacuation { closed: false, .. } | Record::Target { target: None, .. }
     )
   }
 
@@ -225,5 +225,5 @@
 }
 
 fn key(data_centre: &str) -> String {
-  format!("closure {data_centre}")
+  format!("evacuation {data_centre}")
 }
