--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -82,7 +82,7 @@
         data_centre:% = self.data_centre, closed = closed;
         "agent: data centre was closed or opened to new flows."
       );
-      let delay = self.gossip.closing_left().mul_f64(CLOSE_DELAY_FACTOR);
+      let delay = self.gossip.evacuation_left().mul_f64(CLOSE_DELAY_FACTOR);
       self.closed_from = closed.then_some(now + delay);
     }
     if let Some(opened) = evacuations.opened(&self.data_centre) {
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -103,7 +103,11 @@
   pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
     if change.evacuations {
       let listed = self.gossip.catalog().evacuations();
-      let from = now + self.gossip.closing_left().mul_f64(self.evacuation_fraction);
+      let from = now
+        + self
+          .gossip
+          .evacuation_left()
+          .mul_f64(self.evacuation_fraction);
       self.targets.evacuations.update(listed, from);
     }
     if !change.is_empty() {
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -55,7 +55,7 @@
   closing: Duration,
   /// The part of `closing` that was left when the latest evacuation was received; the time since
   /// the previous platform update, during which it may have been ordered, is subtracted.
-  closing_left: Duration,
+  evacuation_left: Duration,
   /// When the platform last confirmed the catalog.
   confirmed: Option<Instant>,
   /// Whether this process is a balancer.
@@ -101,7 +101,7 @@
       balancer,
       catalog: Catalog::default(),
       closing: settings.closing,
-      closing_left: Duration::ZERO,
+      evacuation_left: Duration::ZERO,
       confirmed: None,
       data_centre: digest(&settings.data_centre),
       next_remote_agents: now,
@@ -157,8 +157,8 @@
   }
 
   /// How long flows may still be placed in a data centre whose evacuation was received just now.
-  pub fn closing_left(&self) -> Duration {
-    self.closing_left
+  pub fn evacuation_left(&self) -> Duration {
+    self.evacuation_left
   }
 
   /// When the next status is due.
@@ -230,7 +230,7 @@
       self.pull = None;
     }
     if change.evacuations {
-      self.closing_left = age.map_or(Duration::ZERO, |age| self.closing.saturating_sub(age));
+      self.evacuation_left = age.map_or(Duration::ZERO, |age| self.closing.saturating_sub(age));
     }
     if !change.is_empty() {
       self.version += 1;
