--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -13,7 +13,7 @@
       Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Patience, Settings,
       Tuning, Update, Upstream, Version, event,
       frame::{Purpose, Role},
-      target::Born,
+      target::StartTime,
     },
   },
   serde_json::json,
@@ -58,7 +58,7 @@
   /// request in flight.
   pub(super) awaiting_request: BTreeSet<(Instant, Flow)>,
   /// The start time of the upstream's incarnation; none where the target list states none.
-  pub(super) born: Option<Born>,
+  pub(super) born: Option<StartTime>,
   /// The UDP port at which callers receive packets.
   pub(super) callers_port: u16,
   /// From when on new flows are refused since the data centre is closed; none while it is open.
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -5,7 +5,7 @@
     datagram::{
       Agents, Catalog, Entry, Load, Service, Tuning, Warmup,
       frame::{Gone, Status},
-      target::Born,
+      target::StartTime,
     },
   },
   serde_json::json,
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetState {
   /// Start time of the upstream's incarnation that is listed.
-  born: Option<Born>,
+  born: Option<StartTime>,
   /// The name of its data centre.
   pub data_centre: String,
   /// When it was removed from the target list.
--- a/src/datagram/target.rs
+++ b/src/datagram/target.rs
@@ -50,15 +50,15 @@
   Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-impl Display for Born {
+impl Display for StartTime {
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     self.0.fmt(f)
   }
 }
 
-impl FromStr for Born {
+impl FromStr for StartTime {
   type Err = ParseIntError;
 
   fn from_str(text: &str) -> Result<Self, ParseIntError> {
@@ -73,7 +73,7 @@
   /// The address at which the upstream receives packets from its own instance.
   pub address: SocketAddrV4,
   /// Its start time; none if the platform doesn't give it.
-  pub born: Option<Born>,
+  pub born: Option<StartTime>,
   /// The data centre that it is in.
   pub data_centre: String,
   /// Whether it is live, or draining (leaving): a draining target is given no new flows and keeps
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -13,7 +13,7 @@
     datagram::{
       Catalog, Frame, Load, Machine, Record,
       frame::{Known, Purpose},
-      target::Born,
+      target::StartTime,
     },
   },
   std::time::{Duration, Instant},
@@ -27,7 +27,7 @@
     ..
   } = &mut record
   {
-    target.born = Some(Born(born));
+    target.born = Some(StartTime(born));
   }
   record
 }
