--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -58,7 +58,7 @@
   /// request in flight.
   pub(super) awaiting_request: BTreeSet<(Instant, Flow)>,
   /// The start time of the upstream's incarnation; none where the target list states none.
-  pub(super) born: Option<StartTime>,
+  pub(super) start_time: Option<StartTime>,
   /// The UDP port at which callers receive packets.
   pub(super) callers_port: u16,
   /// From when on new flows are refused since the data centre is closed; none while it is open.
@@ -114,7 +114,7 @@
     };
     Self {
       awaiting_request: BTreeSet::new(),
-      born: None,
+      start_time: None,
       callers_port: settings.callers.port(),
       closed_from: None,
       codec,
@@ -259,7 +259,7 @@
       return;
     };
     self.slots = Some(entry.target.slots.max(1));
-    let born = entry.target.born;
+    let start_time = entry.target.start_time;
     let leaving = entry.target.presence == Presence::Leaving
       || entry.gone.is_some()
       || entry.target.service != self.upstream.service;
@@ -268,9 +268,9 @@
       log::info!(target:% = id, leaving = leaving; "agent: upstream started or stopped draining.");
       self.leaving = leaving;
     }
-    let previous = self.born;
-    self.born = born.max(previous);
-    if previous.is_some() && self.born > previous {
+    let previous = self.start_time;
+    self.start_time = start_time.max(previous);
+    if previous.is_some() && self.start_time > previous {
       self.upstream_restarted();
     }
   }
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetState {
   /// Start time of the upstream's incarnation that is listed.
-  born: Option<StartTime>,
+  start_time: Option<StartTime>,
   /// The name of its data centre.
   pub data_centre: String,
   /// When it was removed from the target list.
@@ -46,7 +46,7 @@
 impl TargetState {
   fn new(entry: &Entry) -> Self {
     Self {
-      born: entry.target.born,
+      start_time: entry.target.start_time,
       data_centre: String::new(),
       gone: None,
       heard: None,
@@ -65,13 +65,13 @@
     if self.gone.is_some() && entry.gone.is_none() {
       self.open_failed = None;
     }
-    if entry.target.born > self.born {
+    if entry.target.start_time > self.start_time {
       // The load of the previous incarnation says nothing of this one.
       self.load = Load::default();
       self.pending = 0;
       self.open_failed = None;
     }
-    self.born = entry.target.born.max(self.born);
+    self.start_time = entry.target.start_time.max(self.start_time);
     self.data_centre.clone_from(&entry.target.data_centre);
     self.gone = entry.gone;
     self.presence = entry.target.presence;
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -270,9 +270,10 @@
       return;
     }
     // A late record of an earlier incarnation.
-    let born = target.as_ref().and_then(|target| target.born);
-    if let (Some(born), Some(latest)) = (born, known.and_then(|entry| entry.target.born))
-      && born < latest
+    let start_time = target.as_ref().and_then(|target| target.start_time);
+    if let (Some(start_time), Some(latest)) =
+      (start_time, known.and_then(|entry| entry.target.start_time))
+      && start_time < latest
     {
       return;
     }
--- a/src/datagram/target.rs
+++ b/src/datagram/target.rs
@@ -73,7 +73,8 @@
   /// The address at which the upstream receives packets from its own instance.
   pub address: SocketAddrV4,
   /// Its start time; none if the platform doesn't give it.
-  pub born: Option<StartTime>,
+  #[serde(rename = "born")]
+  pub start_time: Option<StartTime>,
   /// The data centre that it is in.
   pub data_centre: String,
   /// Whether it is live, or draining (leaving): a draining target is given no new flows and keeps
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -151,7 +151,7 @@
     revision: Revision(revision),
     target: Some(Target {
       address: upstream(host),
-      born: None,
+      start_time: None,
       data_centre: "default".into(),
       presence,
       service: service.parse().expect("a name"),
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -20,14 +20,14 @@
 };
 
 /// The record of an upstream's incarnation.
-fn incarnation(revision: u64, id: &str, host: u8, born: u64) -> Record {
+fn incarnation(revision: u64, id: &str, host: u8, start_time: u64) -> Record {
   let mut record = listed(revision, id, host, "a", Presence::Live);
   if let Record::Target {
     target: Some(target),
     ..
   } = &mut record
   {
-    target.born = Some(StartTime(born));
+    target.start_time = Some(StartTime(start_time));
   }
   record
 }
