--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -26,7 +26,6 @@
 mod load;
 pub mod node;
 mod outbox;
-mod patience;
 mod rate;
 mod record;
 /// Names of services, and their digests.
@@ -34,6 +33,7 @@
 mod settings;
 /// Targets as the platform lists them.
 pub mod target;
+mod timeout;
 mod warmup;
 
 pub use {
@@ -51,11 +51,11 @@
   head::Head,
   load::Load,
   outbox::{Datagram, Outbox, Via},
-  patience::Patience,
   rate::{Rate, RateInvalid},
   record::{Amendment, Record, Update},
   service::Service,
   settings::{Settings, Tuning, Upstream},
   target::Target,
+  timeout::Timeout,
   warmup::Warmup,
 };
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -10,7 +10,7 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Patience, Settings,
+      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Settings, Timeout,
       Tuning, Update, Upstream, Version, event,
       frame::{Purpose, Role},
       target::StartTime,
@@ -68,7 +68,7 @@
   pub(super) counter: Arc<Counter>,
   pub(super) data_centre: String,
   /// Adaptive timeout from a flow's opening packet to its first request.
-  pub(super) first_request_timeout: Patience,
+  pub(super) first_request_timeout: Timeout,
   pub(super) flows: HashMap<Flow, FlowEntry>,
   pub(super) grants: Grants,
   /// The parts of the previous incarnation's handover that have come.
@@ -121,7 +121,7 @@
       cold: Cold::new(now, settings.first_start),
       counter,
       data_centre: settings.data_centre.clone(),
-      first_request_timeout: Patience::new(tuning.expected.0, tuning.expected.1),
+      first_request_timeout: Timeout::new(tuning.expected.0, tuning.expected.1),
       flows: HashMap::new(),
       grants: Grants::default(),
       handover: Handover::default(),
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -15,7 +15,7 @@
     Code,
     counter::Counter,
     datagram::{
-      Codec, Flow, Gossip, Handover, Origin, Outbox, Patience, Service, Settings, Tuning, Update,
+      Codec, Flow, Gossip, Handover, Origin, Outbox, Service, Settings, Timeout, Tuning, Update,
       event, frame::Role,
     },
   },
@@ -65,7 +65,7 @@
   pub(super) last_tested: HashMap<Flow, Instant>,
   /// The lowest priority among each service's routes; 0 is the highest priority.
   pub(super) lowest_priorities: HashMap<Service, u8>,
-  pub(super) open_timeout: Patience,
+  pub(super) open_timeout: Timeout,
   /// When opening packets that are not answered time out.
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) port: u16,
@@ -109,7 +109,7 @@
       last_expiry: now,
       last_tested: HashMap::new(),
       lowest_priorities: HashMap::new(),
-      open_timeout: Patience::new(tuning.open_wait, tuning.open_wait),
+      open_timeout: Timeout::new(tuning.open_wait, tuning.open_wait),
       opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
       queries: Queries::new(now, settings.link),
--- a/src/datagram/patience.rs
+++ b/src/datagram/timeout.rs
@@ -13,12 +13,12 @@
 /// An adaptive timeout: a multiple of the moving average of answer times, so that an overloaded
 /// balancer doesn't add to its load by repeating requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeout {
   min: Duration,
   mean: f64,
 }
 
-impl Patience {
+impl Timeout {
   /// A timeout that is never shorter than `min`, and is `first` before any answer is observed.
   pub fn new(min: Duration, first: Duration) -> Self {
     let mean = first.as_secs_f64() / FACTOR;
