--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -139,7 +139,7 @@
     if now >= self.stale_until {
       log::info!(delay:? = delay; "balancer: process was paused.");
     }
-    self.stale_until = now + C::PATIENCE;
+    self.stale_until = now + C::CONNECT_TIMEOUT;
   }
 
   /// Accounts for the bytes that an event has added to `out`, which held `before` bytes.
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -63,7 +63,7 @@
   /// give up. Balancers don't divide this among themselves, since they may get very different
   /// shares of the callers.
   fn queue_capacity(&self, now: Instant, service: &Service) -> f64 {
-    self.targets.rate(now, service) * C::PATIENCE.as_secs_f64()
+    self.targets.rate(now, service) * C::CONNECT_TIMEOUT.as_secs_f64()
   }
 
   /// Removes a flow that no target has opened, as far as this balancer knows. It is reset unless it
@@ -254,7 +254,7 @@
     let ttl = if self.targets.all_closed(now, &lane.service) {
       Duration::ZERO
     } else {
-      C::PATIENCE.saturating_sub(ANSWER_LATENCY_MAX)
+      C::CONNECT_TIMEOUT.saturating_sub(ANSWER_LATENCY_MAX)
     };
     while let Some(queued) = self.queue.oldest(lane) {
       let (first, flow) = queued;
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -15,7 +15,7 @@
   const GAP: Duration;
 
   /// The time from a caller's first opening packet until it gives up opening the flow.
-  const PATIENCE: Duration;
+  const CONNECT_TIMEOUT: Duration;
 
   /// The time from a caller's first opening packet to a later attempt, counted from 0.
   fn age(attempt: u32) -> Duration {
--- a/tests/datagram/plain.rs
+++ b/tests/datagram/plain.rs
@@ -111,7 +111,7 @@
 impl Codec for Plain {
   const COPIES: u32 = 3;
   const GAP: Duration = Duration::from_millis(200);
-  const PATIENCE: Duration = Duration::from_millis(1400);
+  const CONNECT_TIMEOUT: Duration = Duration::from_millis(1400);
 
   fn read_from_caller(&self, packet: &[u8]) -> Result<Head, Code> {
     Packet::read(packet).map(|packet| packet.head())
