--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -8,7 +8,7 @@
 pub trait Codec: Clone + Send + 'static {
   /// How often a caller sends an opening packet in all; each attempt is numbered
   /// (`Head::acknowledges`).
-  const COPIES: u32;
+  const OPEN_ATTEMPTS: u32;
 
   /// The time from a caller's first opening packet to its first retransmission. The interval
   /// doubles with each attempt.
@@ -19,13 +19,13 @@
 
   /// The time from a caller's first opening packet to a later attempt, counted from 0.
   fn age(attempt: u32) -> Duration {
-    Self::GAP * ((1 << attempt.min(Self::COPIES)) - 1)
+    Self::GAP * ((1 << attempt.min(Self::OPEN_ATTEMPTS)) - 1)
   }
 
   /// The time from a caller's first opening packet by which another attempt would have been
   /// received if the caller still were trying: one interval after the last attempt.
   fn heard() -> Duration {
-    Self::age(Self::COPIES - 1) + Self::GAP
+    Self::age(Self::OPEN_ATTEMPTS - 1) + Self::GAP
   }
 
   /// Parses a packet from a caller. Fails if it is malformed.
--- a/tests/datagram/plain.rs
+++ b/tests/datagram/plain.rs
@@ -109,7 +109,7 @@
 pub struct Plain;
 
 impl Codec for Plain {
-  const COPIES: u32 = 3;
+  const OPEN_ATTEMPTS: u32 = 3;
   const GAP: Duration = Duration::from_millis(200);
   const CONNECT_TIMEOUT: Duration = Duration::from_millis(1400);
 
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -625,7 +625,7 @@
       return;
     };
     let max = if call.sequence.is_none() {
-      Plain::COPIES
+      Plain::OPEN_ATTEMPTS
     } else {
       ATTEMPTS_MAX
     };
