--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -72,7 +72,7 @@
   pub(super) fn give_up(&mut self, now: Instant, flow: &Flow, opening: &Opening, out: &mut Outbox) {
     let age = now.saturating_duration_since(opening.received);
     // The packet may have taken up to half of the interval to get here.
-    let may_be_missing = opening.attempt + 1 < C::OPEN_ATTEMPTS && age >= C::GAP / 2;
+    let may_be_missing = opening.attempt + 1 < C::OPEN_ATTEMPTS && age >= C::INITIAL_RTO / 2;
     let is_reset = !opening.may_be_open && !may_be_missing;
     log::info!(
       flow:% = flow, age:? = age, attempt = opening.attempt, reset = is_reset;
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -12,20 +12,20 @@
 
   /// The time from a caller's first opening packet to its first retransmission. The interval
   /// doubles with each attempt.
-  const GAP: Duration;
+  const INITIAL_RTO: Duration;
 
   /// The time from a caller's first opening packet until it gives up opening the flow.
   const CONNECT_TIMEOUT: Duration;
 
   /// The time from a caller's first opening packet to a later attempt, counted from 0.
   fn age(attempt: u32) -> Duration {
-    Self::GAP * ((1 << attempt.min(Self::OPEN_ATTEMPTS)) - 1)
+    Self::INITIAL_RTO * ((1 << attempt.min(Self::OPEN_ATTEMPTS)) - 1)
   }
 
   /// The time from a caller's first opening packet by which another attempt would have been
   /// received if the caller still were trying: one interval after the last attempt.
   fn heard() -> Duration {
-    Self::age(Self::OPEN_ATTEMPTS - 1) + Self::GAP
+    Self::age(Self::OPEN_ATTEMPTS - 1) + Self::INITIAL_RTO
   }
 
   /// Parses a packet from a caller. Fails if it is malformed.
--- a/tests/datagram/plain.rs
+++ b/tests/datagram/plain.rs
@@ -110,7 +110,7 @@
 
 impl Codec for Plain {
   const OPEN_ATTEMPTS: u32 = 3;
-  const GAP: Duration = Duration::from_millis(200);
+  const INITIAL_RTO: Duration = Duration::from_millis(200);
   const CONNECT_TIMEOUT: Duration = Duration::from_millis(1400);
 
   fn read_from_caller(&self, packet: &[u8]) -> Result<Head, Code> {
