--- a/src/datagram/balancer/place.rs
+++ b/src/datagram/balancer/place.rs
@@ -71,7 +71,9 @@
     Self {
       attempt: head.acknowledges,
       deadline: now,
-      first: now.checked_sub(C::age(head.acknowledges)).unwrap_or(now),
+      first: now
+        .checked_sub(C::retransmit_after(head.acknowledges))
+        .unwrap_or(now),
       may_be_open: head.acknowledges > 0,
       packet: SmallVec::from_slice(packet),
       received: now,
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -18,14 +18,14 @@
   const CONNECT_TIMEOUT: Duration;
 
   /// The time from a caller's first opening packet to a later attempt, counted from 0.
-  fn age(attempt: u32) -> Duration {
+  fn retransmit_after(attempt: u32) -> Duration {
     Self::INITIAL_RTO * ((1 << attempt.min(Self::OPEN_ATTEMPTS)) - 1)
   }
 
   /// The time from a caller's first opening packet by which another attempt would have been
   /// received if the caller still were trying: one interval after the last attempt.
   fn heard() -> Duration {
-    Self::age(Self::OPEN_ATTEMPTS - 1) + Self::INITIAL_RTO
+    Self::retransmit_after(Self::OPEN_ATTEMPTS - 1) + Self::INITIAL_RTO
   }
 
   /// Parses a packet from a caller. Fails if it is malformed.
