--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -116,7 +116,7 @@
     if self.is_in_time(now, newest, choice) {
       return Some(newest);
     }
-    let since = now.checked_sub(C::heard()).unwrap_or(now);
+    let since = now.checked_sub(C::last_attempt_until()).unwrap_or(now);
     self.queue.oldest_since(lane, since).or(Some(newest))
   }
 
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -24,7 +24,7 @@
 
   /// The time from a caller's first opening packet by which another attempt would have been
   /// received if the caller still were trying: one interval after the last attempt.
-  fn heard() -> Duration {
+  fn last_attempt_until() -> Duration {
     Self::retransmit_after(Self::OPEN_ATTEMPTS - 1) + Self::INITIAL_RTO
   }
 
