--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -64,7 +64,7 @@
 
 /// A service that an address was routed to within a flow's lifetime.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Led {
+pub struct FormerBackend {
   /// The address of the route.
   pub address: SocketAddrV4,
   /// How long ago the address was last routed to it, in milliseconds.
@@ -211,7 +211,7 @@
     /// Whether the sender knows all removals within a flow's lifetime.
     known: bool,
     /// The former backends.
-    led: Vec<Led>,
+    led: Vec<FormerBackend>,
     /// The number of this part, from 0.
     part: u16,
     /// The number of parts; 1 even if the sender knows nothing.
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -8,7 +8,7 @@
   super::{
     Catalog, Change, Outbox, Rate, Settings, Tuning, Update,
     event::Origin,
-    frame::{Led, Role, Status},
+    frame::{FormerBackend, Role, Status},
   },
   crate::Revision,
   serde_json::json,
@@ -252,10 +252,10 @@
   }
 
   /// The services that addresses were routed to before, for a peer that has started.
-  pub fn led(&self, now: Instant) -> Vec<Led> {
+  pub fn led(&self, now: Instant) -> Vec<FormerBackend> {
     let all = self.catalog.former().all();
     let routed = all.filter(|(address, ..)| self.catalog.route(address).is_some());
-    let led = routed.map(|(address, service, at)| Led {
+    let led = routed.map(|(address, service, at)| FormerBackend {
       address,
       age_ms: now.saturating_duration_since(at).as_millis() as u32,
       service: service.clone(),
@@ -264,7 +264,7 @@
   }
 
   /// Imports the former backends that a peer knows of.
-  pub fn remember(&mut self, now: Instant, led: &[Led]) {
+  pub fn remember(&mut self, now: Instant, led: &[FormerBackend]) {
     for backend in led {
       let at = now.checked_sub(Duration::from_millis(backend.age_ms.into()));
       let at = at.unwrap_or(now);
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -18,7 +18,7 @@
     Revision,
     datagram::{
       Backends, Flow, Frame, Load, Record, Service,
-      frame::{Led, Purpose, Refusal},
+      frame::{FormerBackend, Purpose, Refusal},
     },
   },
   std::{collections::BTreeMap, net::SocketAddrV4, time::Duration},
@@ -271,7 +271,7 @@
   }
   let history = Frame::Past {
     known: true,
-    led: vec![Led {
+    led: vec![FormerBackend {
       address: crate::support::route(1),
       age_ms: 500,
       service: "b".parse().expect("a name"),
