--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -45,13 +45,13 @@
       }
       Frame::Past {
         known,
-        led,
+        former_backends,
         part,
         parts,
         past,
       } => {
         self.targets.remember(now, &past);
-        self.gossip.remember(now, &led);
+        self.gossip.remember(now, &former_backends);
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -29,14 +29,18 @@
   pub(super) fn send_history(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
     let past = self.targets.past(now, self.gossip.catalog());
     let known = self.history.is_known();
-    let led = self.gossip.led(now);
-    let parts = past.len().max(led.len()).div_ceil(PAST_MAX).max(1);
+    let former_backends = self.gossip.former_backends(now);
+    let parts = past
+      .len()
+      .max(former_backends.len())
+      .div_ceil(PAST_MAX)
+      .max(1);
     for part in 0..parts {
       let named = past.iter().skip(part * PAST_MAX).take(PAST_MAX);
-      let led = led.iter().skip(part * PAST_MAX).take(PAST_MAX);
+      let former_backends = former_backends.iter().skip(part * PAST_MAX).take(PAST_MAX);
       let frame = Frame::Past {
         known,
-        led: led.cloned().collect(),
+        former_backends: former_backends.cloned().collect(),
         part: part as u16,
         parts: parts as u16,
         past: named.cloned().collect(),
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -211,7 +211,7 @@
     /// Whether the sender knows all removals within a flow's lifetime.
     known: bool,
     /// The former backends.
-    led: Vec<FormerBackend>,
+    former_backends: Vec<FormerBackend>,
     /// The number of this part, from 0.
     part: u16,
     /// The number of parts; 1 even if the sender knows nothing.
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -252,20 +252,20 @@
   }
 
   /// The services that addresses were routed to before, for a peer that has started.
-  pub fn led(&self, now: Instant) -> Vec<FormerBackend> {
+  pub fn former_backends(&self, now: Instant) -> Vec<FormerBackend> {
     let all = self.catalog.former().all();
     let routed = all.filter(|(address, ..)| self.catalog.route(address).is_some());
-    let led = routed.map(|(address, service, at)| FormerBackend {
+    let former_backends = routed.map(|(address, service, at)| FormerBackend {
       address,
       age_ms: now.saturating_duration_since(at).as_millis() as u32,
       service: service.clone(),
     });
-    led.collect()
+    former_backends.collect()
   }
 
   /// Imports the former backends that a peer knows of.
-  pub fn remember(&mut self, now: Instant, led: &[FormerBackend]) {
-    for backend in led {
+  pub fn remember(&mut self, now: Instant, former_backends: &[FormerBackend]) {
+    for backend in former_backends {
       let at = now.checked_sub(Duration::from_millis(backend.age_ms.into()));
       let at = at.unwrap_or(now);
       self.catalog.remember(at, backend.address, &backend.service);
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -201,7 +201,7 @@
   // A peer knows all removals.
   let past = Frame::Past {
     known: true,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
     past: vec![],
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -41,7 +41,7 @@
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   let history = Frame::Past {
     known: true,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
     past: vec![tombstone(13)],
@@ -64,7 +64,7 @@
   feed_balancer_status(&mut balancer, 3);
   let empty_history = Frame::Past {
     known: false,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
     past: vec![],
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -271,7 +271,7 @@
   }
   let history = Frame::Past {
     known: true,
-    led: vec![FormerBackend {
+    former_backends: vec![FormerBackend {
       address: crate::support::route(1),
       age_ms: 500,
       service: "b".parse().expect("a name"),
@@ -299,8 +299,8 @@
   let sent = balancer.frame(2, &Frame::AskPast, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Past { led, .. }, _)]
-      if *to == peer(2) && led.len() == 1 && led[0].address == crate::support::route(1)
+    [Sent::Frame(to, Frame::Past { former_backends, .. }, _)]
+      if *to == peer(2) && former_backends.len() == 1 && former_backends[0].address == crate::support::route(1)
   );
 }
 
