--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -16,7 +16,7 @@
 /// The events that a machine handles, and the interface of a machine.
 pub mod event;
 mod flow;
-mod former;
+mod former_backends;
 /// The messages that processes exchange as datagrams.
 pub mod frame;
 mod gossip;
@@ -44,7 +44,7 @@
   evacuations::Evacuations,
   event::{Event, Machine, Origin},
   flow::{Flow, FlowInvalid},
-  former::Former,
+  former_backends::FormerBackends,
   frame::Frame,
   gossip::{Agents, Gossip},
   handover::Handover,
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -1,6 +1,6 @@
 use {
   super::{
-    Configuration, Evacuations, Former, Record, Route, Service, Target, Update, Warmup,
+    Configuration, Evacuations, FormerBackends, Record, Route, Service, Target, Update, Warmup,
     changed::Changed, target,
   },
   crate::Revision,
@@ -37,7 +37,7 @@
   /// routes.
   changed: Changed,
   configuration: Option<(Revision, Arc<Configuration>)>,
-  former: Former,
+  former_backends: FormerBackends,
   /// Removals up to this revision may not be known here.
   removals_from: Revision,
   targets: BTreeMap<target::Id, Entry>,
@@ -100,7 +100,7 @@
 
   /// Drops expired tombstones and former backends.
   pub fn expire(&mut self, now: Instant) {
-    self.former.expire(now, TOMBSTONE_TTL);
+    self.former_backends.expire(now, TOMBSTONE_TTL);
     let removals_from = &mut self.removals_from;
     self.targets.retain(|_, entry| {
       let kept = |gone| now.saturating_duration_since(gone) < TOMBSTONE_TTL;
@@ -146,7 +146,7 @@
       return SmallVec::new();
     };
     let mut services = route.backends.services().cloned().collect::<SmallVec<_>>();
-    for service in self.former.of(address) {
+    for service in self.former_backends.of(address) {
       if !services.contains(service) {
         services.push(service.clone());
       }
@@ -155,8 +155,8 @@
   }
 
   /// The services that addresses were routed to before.
-  pub fn former(&self) -> &Former {
-    &self.former
+  pub fn former_backends(&self) -> &FormerBackends {
+    &self.former_backends
   }
 
   /// Imports a peer's record that an address was routed to a service until `at`; true if that was
@@ -164,7 +164,7 @@
   pub fn remember(&mut self, at: Instant, address: SocketAddrV4, service: &Service) -> bool {
     let known = self.services(&address).contains(service);
     if !known {
-      self.former.record(address, service, at);
+      self.former_backends.record(address, service, at);
     }
     !known
   }
@@ -249,7 +249,7 @@
       }
       Some((_, before)) => {
         self.changed.replace(before, &configuration, revision);
-        self.former.replace(now, before, &configuration);
+        self.former_backends.replace(now, before, &configuration);
       }
       None => self.changed.begin(revision),
     }
--- a/src/datagram/former.rs
+++ b/src/datagram/former_backends.rs
@@ -17,11 +17,11 @@
 /// The services that addresses were routed to within a flow's lifetime, besides their present ones.
 /// A flow stays with the service that accepted it after its address is routed to another.
 #[derive(Clone, Debug, Default)]
-pub struct Former {
+pub struct FormerBackends {
   by_address: BTreeMap<SocketAddrV4, Vec<Removed>>,
 }
 
-impl Former {
+impl FormerBackends {
   /// All former backends: the address, the service, and when the address was last routed to it.
   pub fn all(&self) -> impl Iterator<Item = (SocketAddrV4, &Service, Instant)> {
     let addresses = self.by_address.iter();
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -253,7 +253,7 @@
 
   /// The services that addresses were routed to before, for a peer that has started.
   pub fn former_backends(&self, now: Instant) -> Vec<FormerBackend> {
-    let all = self.catalog.former().all();
+    let all = self.catalog.former_backends().all();
     let routed = all.filter(|(address, ..)| self.catalog.route(address).is_some());
     let former_backends = routed.map(|(address, service, at)| FormerBackend {
       address,
