--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -4,7 +4,7 @@
     config::Presence,
     datagram::{
       Agents, Catalog, Entry, Load, Service, Tuning, Warmup,
-      frame::{Gone, Status},
+      frame::{Status, Tombstone},
       target::StartTime,
     },
   },
@@ -233,22 +233,22 @@
   }
 
   /// Adds the removed targets that a peer has reported.
-  pub fn remember(&mut self, now: Instant, past: &[Gone]) {
+  pub fn remember(&mut self, now: Instant, past: &[Tombstone]) {
     for gone in past {
       self.add_removed(now, &gone.service, &[(gone.address, gone.age_ms)]);
     }
   }
 
   /// The targets that were removed within the lifetime of a flow.
-  pub fn past(&self, now: Instant, catalog: &Catalog) -> Vec<Gone> {
+  pub fn past(&self, now: Instant, catalog: &Catalog) -> Vec<Tombstone> {
     let removed = catalog.entries().filter_map(|(_, entry)| {
-      Some(Gone {
+      Some(Tombstone {
         address: entry.target.address,
         age_ms: age_ms(now, entry.gone?),
         service: entry.target.service.clone(),
       })
     });
-    let reported = self.past.iter().map(|(agent, past)| Gone {
+    let reported = self.past.iter().map(|(agent, past)| Tombstone {
       // Only its IP address is used: agents listen on a fixed port.
       address: *agent,
       age_ms: age_ms(now, past.gone),
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -53,7 +53,7 @@
 
 /// A target that was removed from the target list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Gone {
+pub struct Tombstone {
   /// The address of its upstream.
   pub address: SocketAddrV4,
   /// How long ago it was removed, in milliseconds.
@@ -217,7 +217,7 @@
     /// The number of parts; 1 even if the sender knows nothing.
     parts: u16,
     /// The tombstones.
-    past: Vec<Gone>,
+    past: Vec<Tombstone>,
   },
   /// A test with a caller's packet, which follows, at several agents: the receiver, which is one of
   /// them, forwards it to the others.
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -14,14 +14,14 @@
     Revision,
     datagram::{
       Frame, Load,
-      frame::{Gone, Known, Purpose},
+      frame::{Known, Purpose, Tombstone},
     },
   },
   std::time::Duration,
 };
 
-fn tombstone(host: u8) -> Gone {
-  Gone {
+fn tombstone(host: u8) -> Tombstone {
+  Tombstone {
     address: upstream(host),
     age_ms: 20_000,
     service: "a".parse().expect("a name"),
