--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -90,7 +90,7 @@
     }
     // A tombstone says nothing of the upstream's next incarnation.
     let entry = self.gossip.catalog().at(self.upstream.address);
-    if let Some((_, entry)) = entry.filter(|(_, entry)| entry.gone.is_none()) {
+    if let Some((_, entry)) = entry.filter(|(_, entry)| entry.removed.is_none()) {
       self
         .cold
         .set_warmup_left(now, entry.revision, entry.target.warmup_left);
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -306,8 +306,8 @@
     let complete = self.gossip.catalog().complete();
     let entries = self.gossip.catalog().entries();
     let past = entries.filter_map(|(_, entry)| {
-      let age = match entry.gone {
-        Some(gone) => now.saturating_duration_since(gone),
+      let age = match entry.removed {
+        Some(removed) => now.saturating_duration_since(removed),
         None if entry.revision <= asker => return None,
         None => Duration::ZERO,
       };
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -261,7 +261,7 @@
     self.slots = Some(entry.target.slots.max(1));
     let start_time = entry.target.start_time;
     let leaving = entry.target.presence == Presence::Leaving
-      || entry.gone.is_some()
+      || entry.removed.is_some()
       || entry.target.service != self.upstream.service;
     let leaving = leaving || self.stopping;
     if leaving != self.leaving {
--- a/src/datagram/balancer/choosing.rs
+++ b/src/datagram/balancer/choosing.rs
@@ -124,7 +124,7 @@
     let Some(target) = self.by_agent.get(&agent) else {
       return false;
     };
-    if target.gone.is_some() || is_fast_failing(target, self.medians(&target.service)) {
+    if target.removed.is_some() || is_fast_failing(target, self.medians(&target.service)) {
       return false;
     }
     let cost = self.cost(now, target, Medians::default());
@@ -135,7 +135,7 @@
   pub fn rate(&self, now: Instant, service: &Service) -> f64 {
     let warmup = self.warmups.get(service);
     let listed = self.by_agent.values();
-    let listed = listed.filter(|target| target.service == *service && target.gone.is_none());
+    let listed = listed.filter(|target| target.service == *service && target.removed.is_none());
     let open = listed.filter(|target| !self.evacuations.is_closed(now, &target.data_centre));
     let rates = open.map(|target| {
       let rate = f64::from(target.slots) * 1000.0 / target.load.time_ms();
--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -84,8 +84,8 @@
       return None;
     }
     let mut cost = 0.0;
-    if let Some(gone) = target.gone {
-      if now.saturating_duration_since(gone) >= REMOVAL_GRACE {
+    if let Some(removed) = target.removed {
+      if now.saturating_duration_since(removed) >= REMOVAL_GRACE {
         return None;
       }
       cost += 4.0 * UNAVAILABLE_MS;
@@ -112,7 +112,7 @@
   /// The medians of the targets of a service.
   pub(super) fn medians(&self, service: &Service) -> Medians {
     let known = self.by_agent.values();
-    let known = known.filter(|target| target.service == *service && target.gone.is_none());
+    let known = known.filter(|target| target.service == *service && target.removed.is_none());
     let known = known.filter(|target| target.load.service_ms > 0);
     let loads = known.map(|target| (target.load.service_ms, target.load.failed));
     let (mut times, mut failed): (SmallVec<[u16; 64]>, SmallVec<[u8; 64]>) = loads.unzip();
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -28,7 +28,7 @@
   /// The name of its data centre.
   pub data_centre: String,
   /// When it was removed from the target list.
-  pub gone: Option<Instant>,
+  pub removed: Option<Instant>,
   heard: Option<Instant>,
   incarnation: Option<u32>,
   pub(super) load: Load,
@@ -48,7 +48,7 @@
     Self {
       start_time: entry.target.start_time,
       data_centre: String::new(),
-      gone: None,
+      removed: None,
       heard: None,
       incarnation: None,
       load: Load::default(),
@@ -62,7 +62,7 @@
   }
 
   fn updated(mut self, entry: &Entry) -> Self {
-    if self.gone.is_some() && entry.gone.is_none() {
+    if self.removed.is_some() && entry.removed.is_none() {
       self.open_failed = None;
     }
     if entry.target.start_time > self.start_time {
@@ -73,7 +73,7 @@
     }
     self.start_time = entry.target.start_time.max(self.start_time);
     self.data_centre.clone_from(&entry.target.data_centre);
-    self.gone = entry.gone;
+    self.removed = entry.removed;
     self.presence = entry.target.presence;
     self.service = entry.target.service.clone();
     self.slots = entry.target.slots.max(1);
@@ -95,7 +95,7 @@
 /// A target that was removed from the target list before this process saw it there.
 #[derive(Clone, Debug)]
 struct RemovedTarget {
-  gone: Instant,
+  removed: Instant,
   /// When a frame last came from its agent.
   heard: Option<Instant>,
   /// When this process learnt of it.
@@ -144,7 +144,7 @@
   pub fn agents(&self) -> Agents {
     let mut agents = Agents::default();
     let listed = self.by_agent.iter();
-    for (agent, target) in listed.filter(|(_, target)| target.gone.is_none()) {
+    for (agent, target) in listed.filter(|(_, target)| target.removed.is_none()) {
       if target.data_centre == self.data_centre {
         agents.near.push(*agent);
       } else {
@@ -193,10 +193,10 @@
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
     match (self.by_agent.get(&agent), self.past.get(&agent)) {
-      (Some(target), _) => target.gone.is_some_and(is_past_grace) && !self.is_heard(now, target),
+      (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_heard(now, target),
       (None, Some(past)) => {
         let last = past.heard.unwrap_or(past.learnt);
-        is_past_grace(past.gone) && now.saturating_duration_since(last) >= self.tuning.silent
+        is_past_grace(past.removed) && now.saturating_duration_since(last) >= self.tuning.silent
       }
       (None, None) => !self.unlisted.contains_key(&agent),
     }
@@ -221,7 +221,7 @@
       agents.push(agent);
       self.unlisted.remove(&agent);
       let past = RemovedTarget {
-        gone: removed.unwrap_or(now),
+        removed: removed.unwrap_or(now),
         heard: None,
         learnt: now,
         service: service.clone(),
@@ -234,8 +234,12 @@
 
   /// Adds the removed targets that a peer has reported.
   pub fn remember(&mut self, now: Instant, past: &[Tombstone]) {
-    for gone in past {
-      self.add_removed(now, &gone.service, &[(gone.address, gone.age_ms)]);
+    for tombstone in past {
+      self.add_removed(
+        now,
+        &tombstone.service,
+        &[(tombstone.address, tombstone.age_ms)],
+      );
     }
   }
 
@@ -244,14 +248,14 @@
     let removed = catalog.entries().filter_map(|(_, entry)| {
       Some(Tombstone {
         address: entry.target.address,
-        age_ms: age_ms(now, entry.gone?),
+        age_ms: age_ms(now, entry.removed?),
         service: entry.target.service.clone(),
       })
     });
     let reported = self.past.iter().map(|(agent, past)| Tombstone {
       // Only its IP address is used: agents listen on a fixed port.
       address: *agent,
-      age_ms: age_ms(now, past.gone),
+      age_ms: age_ms(now, past.removed),
       service: past.service.clone(),
     });
     removed.chain(reported).collect()
@@ -278,7 +282,7 @@
   pub fn all_closed(&self, now: Instant, service: &Service) -> bool {
     let listed = self.by_agent.values();
     let mut listed = listed
-      .filter(|target| target.service == *service && target.gone.is_none())
+      .filter(|target| target.service == *service && target.removed.is_none())
       .peekable();
     listed.peek().is_some()
       && listed.all(|target| self.evacuations.is_closed(now, &target.data_centre))
@@ -344,7 +348,7 @@
         "agent": agent.to_string(),
         "cost_ms": self.cost(now, target, self.medians(&target.service)),
         "data_centre": target.data_centre,
-        "gone_ms": target.gone.map(age),
+        "gone_ms": target.removed.map(age),
         "heard_ms": target.heard.map(age),
         "load": target.load,
         "pending": target.pending,
@@ -366,7 +370,7 @@
       .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
     self
       .past
-      .retain(|_, past| now.saturating_duration_since(past.gone) < life);
+      .retain(|_, past| now.saturating_duration_since(past.removed) < life);
   }
 
   /// Replaces the targets by those of the catalog; what is known of their load is kept.
@@ -384,7 +388,7 @@
       if !agents.contains(&agent) {
         agents.push(agent);
       }
-      let precedence = |entry: &Entry| (entry.gone.is_none(), entry.revision);
+      let precedence = |entry: &Entry| (entry.removed.is_none(), entry.revision);
       let current = newest.entry(agent).or_insert(entry);
       if precedence(current) < precedence(entry) {
         *current = entry;
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
   /// When it was removed from the target list; none while it is listed.
-  pub gone: Option<Instant>,
+  pub removed: Option<Instant>,
   /// The revision of the latest record of it.
   pub revision: Revision,
   /// Its latest description, kept after its removal.
@@ -95,7 +95,7 @@
     let here = self.targets.iter();
     here
       .filter(|(_, entry)| entry.target.address == address)
-      .max_by_key(|(_, entry)| (entry.gone.is_none(), entry.revision))
+      .max_by_key(|(_, entry)| (entry.removed.is_none(), entry.revision))
   }
 
   /// Drops expired tombstones and former backends.
@@ -103,8 +103,8 @@
     self.former_backends.expire(now, TOMBSTONE_TTL);
     let removals_from = &mut self.removals_from;
     self.targets.retain(|_, entry| {
-      let kept = |gone| now.saturating_duration_since(gone) < TOMBSTONE_TTL;
-      let kept = entry.gone.is_none_or(kept);
+      let kept = |removed| now.saturating_duration_since(removed) < TOMBSTONE_TTL;
+      let kept = entry.removed.is_none_or(kept);
       if !kept {
         *removals_from = entry.revision.max(*removals_from);
       }
@@ -183,7 +183,10 @@
     let targets = targets.map(|(id, entry)| Record::Target {
       id: id.clone(),
       revision: entry.revision,
-      target: entry.gone.is_none().then(|| entry.target.as_ref().clone()),
+      target: entry
+        .removed
+        .is_none()
+        .then(|| entry.target.as_ref().clone()),
     });
     Update {
       after: (!snapshot).then_some(after),
@@ -279,12 +282,12 @@
     }
     let entry = match (target, known) {
       (Some(target), _) => Entry {
-        gone: None,
+        removed: None,
         revision,
         target: Arc::new(target),
       },
       (None, Some(entry)) => Entry {
-        gone: Some(entry.gone.unwrap_or(now)),
+        removed: Some(entry.removed.unwrap_or(now)),
         revision,
         target: Arc::clone(&entry.target),
       },
@@ -298,8 +301,8 @@
   fn drop_unlisted(&mut self, now: Instant, to: Revision, listed: &Listed, change: &mut Change) {
     change.evacuations |= self.evacuations.drop_unlisted(to, &listed.closed);
     for (id, entry) in &mut self.targets {
-      if entry.gone.is_none() && entry.revision < to && !listed.targets.contains(id) {
-        entry.gone = Some(now);
+      if entry.removed.is_none() && entry.revision < to && !listed.targets.contains(id) {
+        entry.removed = Some(now);
         entry.revision = to;
         change.targets.push(id.clone());
       }
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -319,7 +319,7 @@
     let entries = self.catalog.entries();
     let targets = entries.map(|(id, entry)| {
       json!({
-        "gone_ms": entry.gone.map(age),
+        "gone_ms": entry.removed.map(age),
         "id": id.to_string(),
         "revision": entry.revision,
         "target": entry.target.as_ref(),
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -137,7 +137,7 @@
   /// The agents of all listed targets, including those outside the overlay.
   fn listed_agents(&self) -> impl Iterator<Item = SocketAddrV4> {
     let listed = self.catalog.entries();
-    let listed = listed.filter(|(_, entry)| entry.gone.is_none());
+    let listed = listed.filter(|(_, entry)| entry.removed.is_none());
     listed.map(|(_, entry)| SocketAddrV4::new(*entry.target.address.ip(), self.address.port()))
   }
 }
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -29,7 +29,7 @@
 fn resource(catalog: &Catalog, name: &Service) -> Value {
   let entries = catalog.entries();
   let entries = entries.filter(|(_, entry)| entry.target.service == *name);
-  let listed = entries.filter(|(_, entry)| entry.gone.is_none());
+  let listed = entries.filter(|(_, entry)| entry.removed.is_none());
   let listed = listed.collect::<Vec<_>>();
   let leaving = listed.iter().filter(|(_, entry)| is_leaving(entry)).count();
   let evacuations = catalog.evacuations();
--- a/tests/datagram/catalog.rs
+++ b/tests/datagram/catalog.rs
@@ -25,7 +25,7 @@
   catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   catalog.offer(now, update(None, 3, &[]));
   let (_, entry) = catalog.entries().next().expect("entry");
-  assert_eq!(entry.gone, None);
+  assert_eq!(entry.removed, None);
 }
 
 #[test]
@@ -35,8 +35,8 @@
   let live = Presence::Live;
   catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   catalog.offer(now, update(None, 8, &[listed(7, "two", 2, "a", live)]));
-  let gone = catalog.entries().map(|(_, entry)| entry.gone.is_some());
-  assert_eq!(gone.collect::<Vec<_>>(), [true, false]);
+  let removed = catalog.entries().map(|(_, entry)| entry.removed.is_some());
+  assert_eq!(removed.collect::<Vec<_>>(), [true, false]);
 }
 
 #[test]
@@ -61,7 +61,7 @@
   catalog.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
   catalog.offer(now, update(Some(6), 7, &[listed(7, "one", 1, "a", live)]));
   let (_, entry) = catalog.entries().next().expect("entry");
-  assert_eq!(entry.gone, None);
+  assert_eq!(entry.removed, None);
 }
 
 #[test]
@@ -91,7 +91,7 @@
   assert_eq!(second.complete(), Revision(6));
   assert_eq!(second.version(), Version(7));
   let (_, entry) = second.entries().next().expect("entry");
-  assert!(entry.gone.is_some());
+  assert!(entry.removed.is_some());
 }
 
 #[test]
@@ -105,7 +105,7 @@
   second.offer(now, update(None, 6, &[]));
   first.offer(now, second.since(first.complete()));
   let (_, entry) = first.entries().next().expect("entry");
-  assert!(entry.gone.is_some());
+  assert!(entry.removed.is_some());
 }
 
 #[test]
@@ -119,5 +119,5 @@
   second.expire(now + Duration::from_mins(5));
   first.offer(now, second.since(first.complete()));
   let (_, entry) = first.entries().next().expect("entry");
-  assert!(entry.gone.is_some());
+  assert!(entry.removed.is_some());
 }
