--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -23,7 +23,7 @@
     self.note_stall(now);
     let (frame, packet) = Frame::decode(bytes)?;
     match frame {
-      Frame::AskPast => self.send_history(now, from, out),
+      Frame::HistoryRequest => self.send_history(now, from, out),
       Frame::Absent {
         flows, lost: true, ..
       } => self.reset_lost_flows(now, from, &flows, packet, out),
@@ -43,7 +43,7 @@
         handover.take(now, part, parts, flows);
         self.restarts.begin(now, from);
       }
-      Frame::Past {
+      Frame::History {
         known,
         former_backends,
         part,
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -11,7 +11,7 @@
   /// Requests a balancer's history, unless it is known or the request was sent recently.
   pub(super) fn request_history(&mut self, now: Instant, balancer: SocketAddrV4, out: &mut Outbox) {
     if self.history.take_due(now, balancer) {
-      out.frame(balancer, &Frame::AskPast, &[]);
+      out.frame(balancer, &Frame::HistoryRequest, &[]);
     }
   }
 
@@ -38,7 +38,7 @@
     for part in 0..parts {
       let named = past.iter().skip(part * PAST_MAX).take(PAST_MAX);
       let former_backends = former_backends.iter().skip(part * PAST_MAX).take(PAST_MAX);
-      let frame = Frame::Past {
+      let frame = Frame::History {
         known,
         former_backends: former_backends.cloned().collect(),
         part: part as u16,
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -205,9 +205,9 @@
     parts: u16,
   },
   /// A balancer that has started requests tombstones and former backends from a peer.
-  AskPast,
+  HistoryRequest,
   /// Tombstones and former backends, in response.
-  Past {
+  History {
     /// Whether the sender knows all removals within a flow's lifetime.
     known: bool,
     /// The former backends.
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -199,7 +199,7 @@
     }
   }
   // A peer knows all removals.
-  let past = Frame::Past {
+  let past = Frame::History {
     known: true,
     former_backends: vec![],
     part: 0,
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -33,13 +33,13 @@
   let mut balancer = balancer();
   assert_eq!(
     feed_balancer_status(&mut balancer, 2),
-    [Sent::Frame(peer(2), Frame::AskPast, vec![])]
+    [Sent::Frame(peer(2), Frame::HistoryRequest, vec![])]
   );
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  let history = Frame::Past {
+  let history = Frame::History {
     known: true,
     former_backends: vec![],
     part: 0,
@@ -62,7 +62,7 @@
   let mut balancer = balancer();
   feed_balancer_status(&mut balancer, 2);
   feed_balancer_status(&mut balancer, 3);
-  let empty_history = Frame::Past {
+  let empty_history = Frame::History {
     known: false,
     former_backends: vec![],
     part: 0,
@@ -82,10 +82,10 @@
 fn a_balancer_sends_its_tombstones_on_request() {
   let mut balancer = balancer();
   balancer.platform(update(Some(4), 5, &[unlisted(5, "up-12")]));
-  let sent = balancer.frame(2, &Frame::AskPast, &[]);
+  let sent = balancer.frame(2, &Frame::HistoryRequest, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Past { known: false, part: 0, parts: 1, past, .. }, _)]
+    [Sent::Frame(to, Frame::History { known: false, part: 0, parts: 1, past, .. }, _)]
       if *to == peer(2) && past[0].address == upstream(12)
   );
 }
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -269,7 +269,7 @@
     let sent = balancer.frame(host, &absent(4), &[]);
     assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   }
-  let history = Frame::Past {
+  let history = Frame::History {
     known: true,
     former_backends: vec![FormerBackend {
       address: crate::support::route(1),
@@ -296,10 +296,10 @@
   let mut balancer = balancer_with_split(90, 10);
   let routes = [(1, "a"), (2, "b")];
   balancer.platform(update(Some(5), 6, &[configured(6, 3, &routes)]));
-  let sent = balancer.frame(2, &Frame::AskPast, &[]);
+  let sent = balancer.frame(2, &Frame::HistoryRequest, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Past { former_backends, .. }, _)]
+    [Sent::Frame(to, Frame::History { former_backends, .. }, _)]
       if *to == peer(2) && former_backends.len() == 1 && former_backends[0].address == crate::support::route(1)
   );
 }
