--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -305,7 +305,7 @@
   pub(super) fn known_targets(&self, now: Instant, asker: Revision) -> Known {
     let complete = self.gossip.catalog().complete();
     let entries = self.gossip.catalog().entries();
-    let past = entries.filter_map(|(_, entry)| {
+    let tombstones = entries.filter_map(|(_, entry)| {
       let age = match entry.removed {
         Some(removed) => now.saturating_duration_since(removed),
         None if entry.revision <= asker => return None,
@@ -316,15 +316,15 @@
         target.service == self.upstream.service && target.address != self.upstream.address;
       may_own.then_some((target.address, age.as_millis() as u32))
     });
-    let past = past.take(KNOWN_MAX).collect::<Vec<_>>();
-    let all_named = past.len() < KNOWN_MAX;
+    let tombstones = tombstones.take(KNOWN_MAX).collect::<Vec<_>>();
+    let all_named = tombstones.len() < KNOWN_MAX;
     Known {
       complete: if all_named {
         complete.min(asker)
       } else {
         complete
       },
-      past,
+      tombstones,
     }
   }
 }
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -48,9 +48,9 @@
         former_backends,
         part,
         parts,
-        past,
+        tombstones,
       } => {
-        self.targets.remember(now, &past);
+        self.targets.remember(now, &tombstones);
         self.gossip.remember(now, &former_backends);
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -27,23 +27,23 @@
 
   /// Sends the targets that were removed, and the services that addresses were routed to.
   pub(super) fn send_history(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
-    let past = self.targets.past(now, self.gossip.catalog());
+    let tombstones = self.targets.tombstones(now, self.gossip.catalog());
     let known = self.history.is_known();
     let former_backends = self.gossip.former_backends(now);
-    let parts = past
+    let parts = tombstones
       .len()
       .max(former_backends.len())
       .div_ceil(PAST_MAX)
       .max(1);
     for part in 0..parts {
-      let named = past.iter().skip(part * PAST_MAX).take(PAST_MAX);
+      let named = tombstones.iter().skip(part * PAST_MAX).take(PAST_MAX);
       let former_backends = former_backends.iter().skip(part * PAST_MAX).take(PAST_MAX);
       let frame = Frame::History {
         known,
         former_backends: former_backends.cloned().collect(),
         part: part as u16,
         parts: parts as u16,
-        past: named.cloned().collect(),
+        tombstones: named.cloned().collect(),
       };
       out.frame(to, &frame, &[]);
     }
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -112,7 +112,7 @@
     flows: &[Flow],
     known: &Known,
   ) {
-    if known.past.is_empty() {
+    if known.tombstones.is_empty() {
       return;
     }
     let services = match self.targets.service(from) {
@@ -120,7 +120,7 @@
       None => self.services_of(flows),
     };
     for service in &services {
-      self.targets.add_removed(now, service, &known.past);
+      self.targets.add_removed(now, service, &known.tombstones);
     }
   }
 
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -111,7 +111,7 @@
   pub(super) data_centre: String,
   /// Targets that were removed before this process saw them listed, as reported by agents and
   /// peers.
-  past: BTreeMap<SocketAddrV4, RemovedTarget>,
+  tombstones: BTreeMap<SocketAddrV4, RemovedTarget>,
   port: u16,
   pub(super) services: BTreeMap<Service, Vec<SocketAddrV4>>,
   started: Instant,
@@ -130,7 +130,7 @@
       by_agent: BTreeMap::new(),
       evacuations: Evacuations::default(),
       data_centre,
-      past: BTreeMap::new(),
+      tombstones: BTreeMap::new(),
       port,
       services: BTreeMap::new(),
       started: now,
@@ -192,11 +192,12 @@
       return false;
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
-    match (self.by_agent.get(&agent), self.past.get(&agent)) {
+    match (self.by_agent.get(&agent), self.tombstones.get(&agent)) {
       (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_heard(now, target),
-      (None, Some(past)) => {
-        let last = past.heard.unwrap_or(past.learnt);
-        is_past_grace(past.removed) && now.saturating_duration_since(last) >= self.tuning.silent
+      (None, Some(tombstone)) => {
+        let last = tombstone.heard.unwrap_or(tombstone.learnt);
+        is_past_grace(tombstone.removed)
+          && now.saturating_duration_since(last) >= self.tuning.silent
       }
       (None, None) => !self.unlisted.contains_key(&agent),
     }
@@ -208,10 +209,10 @@
     &mut self,
     now: Instant,
     service: &Service,
-    past: &[(SocketAddrV4, u32)],
+    tombstones: &[(SocketAddrV4, u32)],
   ) -> bool {
     let mut is_new = false;
-    for (upstream, age_ms) in past {
+    for (upstream, age_ms) in tombstones {
       let agent = SocketAddrV4::new(*upstream.ip(), self.port);
       let agents = self.services.entry(service.clone()).or_default();
       if agents.contains(&agent) {
@@ -220,21 +221,21 @@
       let removed = now.checked_sub(Duration::from_millis((*age_ms).into()));
       agents.push(agent);
       self.unlisted.remove(&agent);
-      let past = RemovedTarget {
+      let tombstones = RemovedTarget {
         removed: removed.unwrap_or(now),
         heard: None,
         learnt: now,
         service: service.clone(),
       };
-      self.past.insert(agent, past);
+      self.tombstones.insert(agent, tombstone);
       is_new = true;
     }
     is_new
   }
 
   /// Adds the removed targets that a peer has reported.
-  pub fn remember(&mut self, now: Instant, past: &[Tombstone]) {
-    for tombstone in past {
+  pub fn remember(&mut self, now: Instant, tombstones: &[Tombstone]) {
+    for tombstone in tombstones {
       self.add_removed(
         now,
         &tombstone.service,
@@ -244,7 +245,7 @@
   }
 
   /// The targets that were removed within the lifetime of a flow.
-  pub fn past(&self, now: Instant, catalog: &Catalog) -> Vec<Tombstone> {
+  pub fn tombstones(&self, now: Instant, catalog: &Catalog) -> Vec<Tombstone> {
     let removed = catalog.entries().filter_map(|(_, entry)| {
       Some(Tombstone {
         address: entry.target.address,
@@ -252,11 +253,11 @@
         service: entry.target.service.clone(),
       })
     });
-    let reported = self.past.iter().map(|(agent, past)| Tombstone {
+    let reported = self.tombstones.iter().map(|(agent, tombstone)| Tombstone {
       // Only its IP address is used: agents listen on a fixed port.
       address: *agent,
-      age_ms: age_ms(now, past.removed),
-      service: past.service.clone(),
+      age_ms: age_ms(now, tombstone.removed),
+      service: tombstone.service.clone(),
     });
     removed.chain(reported).collect()
   }
@@ -311,8 +312,8 @@
     load: Load,
   ) -> IncarnationChange {
     let Some(target) = self.by_agent.get_mut(&agent) else {
-      match self.past.get_mut(&agent) {
-        Some(past) => past.heard = Some(now),
+      match self.tombstones.get_mut(&agent) {
+        Some(tombstone) => tombstone.heard = Some(now),
         None => {
           self.unlisted.insert(agent, now);
         }
@@ -369,8 +370,8 @@
       .unlisted
       .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
     self
-      .past
-      .retain(|_, past| now.saturating_duration_since(past.removed) < life);
+      .tombstones
+      .retain(|_, tombstone| now.saturating_duration_since(tombstone.removed) < life);
   }
 
   /// Replaces the targets by those of the catalog; what is known of their load is kept.
@@ -394,8 +395,8 @@
         *current = entry;
       }
     }
-    for (agent, past) in &self.past {
-      let agents = self.services.entry(past.service.clone()).or_default();
+    for (agent, tombstone) in &self.tombstones {
+      let agents = self.services.entry(tombstone.service.clone()).or_default();
       if !agents.contains(agent) {
         agents.push(*agent);
       }
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -48,7 +48,7 @@
   /// Targets of the agent's service that were removed from the target list, by the addresses of
   /// their upstreams, and how long ago, in milliseconds: the platform may have removed them while
   /// they are alive. Also listed targets that are newer than the receiver's catalog.
-  pub past: Vec<(SocketAddrV4, u32)>,
+  pub tombstones: Vec<(SocketAddrV4, u32)>,
 }
 
 /// A target that was removed from the target list.
@@ -217,7 +217,7 @@
     /// The number of parts; 1 even if the sender knows nothing.
     parts: u16,
     /// The tombstones.
-    past: Vec<Tombstone>,
+    tombstones: Vec<Tombstone>,
   },
   /// A test with a caller's packet, which follows, at several agents: the receiver, which is one of
   /// them, forwards it to the others.
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -63,7 +63,7 @@
     flows: vec![flow],
     known: Known {
       complete,
-      past: vec![],
+      tombstones: vec![],
     },
     lost: false,
   }
@@ -197,7 +197,7 @@
     flows: vec![one, other],
     known: Known {
       complete: KNOWN,
-      past: vec![],
+      tombstones: vec![],
     },
     lost: false,
   };
@@ -246,7 +246,7 @@
   ];
   agent.platform(update(Some(2), 5, &records));
   let known = targets_named_to(&mut agent, 3);
-  assert_eq!(known.past, [(upstream(11), 0)]);
+  assert_eq!(known.tombstones, [(upstream(11), 0)]);
   assert_eq!(known.complete, Revision(3));
   assert_eq!(targets_named_to(&mut agent, 9).complete, Revision(5));
 }
@@ -304,7 +304,7 @@
     flows: vec![flow],
     known: Known {
       complete: KNOWN,
-      past: vec![],
+      tombstones: vec![],
     },
     lost: true,
   };
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -112,7 +112,7 @@
     flows: vec![flow(1, 1)],
     known: Known {
       complete: Revision(complete),
-      past: vec![],
+      tombstones: vec![],
     },
     lost: false,
   }
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -199,15 +199,15 @@
     }
   }
   // A peer knows all removals.
-  let past = Frame::History {
+  let history = Frame::History {
     known: true,
     former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![],
+    tombstones: vec![],
   };
   let mut bytes = Vec::new();
-  past.encode(&mut bytes);
+  history.encode(&mut bytes);
   let from = address(1);
   balancer.step(Event::Frame {
     from,
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -44,7 +44,7 @@
     former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![tombstone(13)],
+    tombstones: vec![tombstone(13)],
   };
   balancer.frame(2, &history, &[]);
   // The repeated queries include the removed target.
@@ -67,7 +67,7 @@
     former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![],
+    tombstones: vec![],
   };
   search(&mut balancer);
   balancer.frame(2, &empty_history, &[]);
@@ -85,8 +85,8 @@
   let sent = balancer.frame(2, &Frame::HistoryRequest, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::History { known: false, part: 0, parts: 1, past, .. }, _)]
-      if *to == peer(2) && past[0].address == upstream(12)
+    [Sent::Frame(to, Frame::History { known: false, part: 0, parts: 1, tombstones, .. }, _)]
+      if *to == peer(2) && tombstones[0].address == upstream(12)
   );
 }
 
@@ -98,7 +98,7 @@
     flows: vec![flow(1, 1)],
     known: Known {
       complete: Revision(4),
-      past: vec![(crate::support::upstream(13), 100)],
+      tombstones: vec![(crate::support::upstream(13), 100)],
     },
     lost: false,
   };
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -278,7 +278,7 @@
     }],
     part: 0,
     parts: 1,
-    past: vec![],
+    tombstones: vec![],
   };
   let sent = balancer.frame(2, &history, &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
@@ -310,7 +310,7 @@
   search(&mut balancer);
   let known = fallwell::datagram::frame::Known {
     complete: Revision(4),
-    past: vec![(upstream(22), 100)],
+    tombstones: vec![(upstream(22), 100)],
   };
   let absent = Frame::Absent {
     flows: vec![flow(1, 1)],
