--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -3,7 +3,7 @@
 
 use {
   super::machine::Machine,
-  crate::datagram::{Codec, Frame, Outbox, frame::PAST_MAX},
+  crate::datagram::{Codec, Frame, Outbox, frame::TOMBSTONES_MAX},
   std::{net::SocketAddrV4, time::Instant},
 };
 
@@ -33,11 +33,17 @@
     let parts = tombstones
       .len()
       .max(former_backends.len())
-      .div_ceil(PAST_MAX)
+      .div_ceil(TOMBSTONES_MAX)
       .max(1);
     for part in 0..parts {
-      let named = tombstones.iter().skip(part * PAST_MAX).take(PAST_MAX);
-      let former_backends = former_backends.iter().skip(part * PAST_MAX).take(PAST_MAX);
+      let named = tombstones
+        .iter()
+        .skip(part * TOMBSTONES_MAX)
+        .take(TOMBSTONES_MAX);
+      let former_backends = former_backends
+        .iter()
+        .skip(part * TOMBSTONES_MAX)
+        .take(TOMBSTONES_MAX);
       let frame = Frame::History {
         known,
         former_backends: former_backends.cloned().collect(),
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -13,7 +13,7 @@
 
 /// The most tombstones, and the most former backends, in one frame: it fits in a datagram of 1,500
 /// bytes.
-pub const PAST_MAX: usize = 24;
+pub const TOMBSTONES_MAX: usize = 24;
 
 /// The most agents in one `FanOut` frame that is followed by a packet of `packet` bytes: both fit
 /// in a datagram of 1,500 bytes.
