--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -50,8 +50,8 @@
         parts,
         tombstones,
       } => {
-        self.targets.remember(now, &tombstones);
-        self.gossip.remember(now, &former_backends);
+        self.targets.import(now, &tombstones);
+        self.gossip.import(now, &former_backends);
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -234,7 +234,7 @@
   }
 
   /// Adds the removed targets that a peer has reported.
-  pub fn remember(&mut self, now: Instant, tombstones: &[Tombstone]) {
+  pub fn import(&mut self, now: Instant, tombstones: &[Tombstone]) {
     for tombstone in tombstones {
       self.add_removed(
         now,
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -161,7 +161,7 @@
 
   /// Imports a peer's record that an address was routed to a service until `at`; true if that was
   /// not known.
-  pub fn remember(&mut self, at: Instant, address: SocketAddrV4, service: &Service) -> bool {
+  pub fn import(&mut self, at: Instant, address: SocketAddrV4, service: &Service) -> bool {
     let known = self.services(&address).contains(service);
     if !known {
       self.former_backends.record(address, service, at);
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -264,11 +264,11 @@
   }
 
   /// Imports the former backends that a peer knows of.
-  pub fn remember(&mut self, now: Instant, former_backends: &[FormerBackend]) {
+  pub fn import(&mut self, now: Instant, former_backends: &[FormerBackend]) {
     for backend in former_backends {
       let at = now.checked_sub(Duration::from_millis(backend.age_ms.into()));
       let at = at.unwrap_or(now);
-      self.catalog.remember(at, backend.address, &backend.service);
+      self.catalog.import(at, backend.address, &backend.service);
     }
   }
 
