--- a/src/datagram/agent/flow_entry.rs
+++ b/src/datagram/agent/flow_entry.rs
@@ -1,7 +1,7 @@
 use {
   crate::{
     Revision,
-    datagram::{Flow, handover::Passed},
+    datagram::{Flow, handover::FlowRecord},
   },
   std::{net::SocketAddrV4, time::Instant},
 };
@@ -74,8 +74,8 @@
   }
 
   /// The record of the flow in a handover; none where the upstream has not accepted it.
-  pub fn flow_record(&self, flow: Flow) -> Option<Passed> {
-    self.is_accepted().then_some(Passed {
+  pub fn flow_record(&self, flow: Flow) -> Option<FlowRecord> {
+    self.is_accepted().then_some(FlowRecord {
       flow,
       open: self.state == FlowState::Open,
       sequence: self.sequence,
@@ -84,7 +84,7 @@
 
   /// Restores the flow from the previous incarnation's record, even if a late opening packet has
   /// come since.
-  pub fn restore(&mut self, record: &Passed) {
+  pub fn restore(&mut self, record: &FlowRecord) {
     if self.state != FlowState::Opening {
       return;
     }
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -8,7 +8,7 @@
     machine::Machine,
     work::Work,
   },
-  crate::datagram::{Codec, Flow, Handover, Outbox, handover::Passed},
+  crate::datagram::{Codec, Flow, Handover, Outbox, handover::FlowRecord},
   std::{collections::BTreeSet, net::SocketAddrV4, time::Instant},
 };
 
@@ -27,7 +27,7 @@
     &mut self,
     now: Instant,
     from: SocketAddrV4,
-    flows: Vec<Passed>,
+    flows: Vec<FlowRecord>,
     part: u16,
     parts: u16,
   ) {
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Flow, Load, Service, Update, Version, handover::Passed, service::Digest},
+  super::{Flow, Load, Service, Update, Version, handover::FlowRecord, service::Digest},
   crate::{Code, Revision},
   serde::{Deserialize, Serialize},
   std::net::SocketAddrV4,
@@ -198,7 +198,7 @@
   /// incarnation.
   Handover {
     /// The flows.
-    flows: Vec<Passed>,
+    flows: Vec<FlowRecord>,
     /// The number of this part, from 0.
     part: u16,
     /// The number of parts of the whole table; 0 if the sender doesn't have all of it.
--- a/src/datagram/handover.rs
+++ b/src/datagram/handover.rs
@@ -24,7 +24,7 @@
 
 /// One flow of an agent that is stopping.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Passed {
+pub struct FlowRecord {
   /// The flow.
   pub flow: Flow,
   /// Whether the opening is complete; otherwise the caller's next packet may complete it.
@@ -39,18 +39,18 @@
 pub struct Handover {
   /// When the latest part arrived; none at the sender.
   at: Option<Instant>,
-  parts: BTreeMap<u16, Vec<Passed>>,
+  parts: BTreeMap<u16, Vec<FlowRecord>>,
   total: u16,
 }
 
 impl Handover {
   /// The handover of all flows of an agent.
-  pub fn new(mut flows: Vec<Passed>) -> Self {
+  pub fn new(mut flows: Vec<FlowRecord>) -> Self {
     // Sorted, so that a simulation is reproducible.
     flows.sort_unstable();
     let mut parts = flows
       .chunks(FLOWS_MAX)
-      .map(<[Passed]>::to_vec)
+      .map(<[FlowRecord]>::to_vec)
       .collect::<Vec<_>>();
     // An empty table is sent too: it saves the next incarnation testing flows at its upstream.
     if parts.is_empty() {
@@ -65,7 +65,7 @@
   }
 
   /// Adds a part; true once all have arrived.
-  pub fn take(&mut self, now: Instant, part: u16, total: u16, flows: Vec<Passed>) -> bool {
+  pub fn take(&mut self, now: Instant, part: u16, total: u16, flows: Vec<FlowRecord>) -> bool {
     if total == 0 || total > PARTS_MAX || part >= total {
       return false;
     }
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -8,7 +8,7 @@
     support::{Sent, flow, found, peer},
   },
   assert_matches::assert_matches,
-  fallwell::datagram::{Frame, Load, frame::Purpose, handover::Passed},
+  fallwell::datagram::{Frame, Load, frame::Purpose, handover::FlowRecord},
   std::time::Duration,
 };
 
@@ -24,8 +24,8 @@
   );
 }
 
-fn flow_record(port: u16) -> Passed {
-  Passed {
+fn flow_record(port: u16) -> FlowRecord {
+  FlowRecord {
     flow: flow(port, 1),
     open: true,
     sequence: Some(7),
