--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -196,7 +196,7 @@
         self.take_handover(now, from, flows, part, parts);
         Ok(())
       }
-      Frame::Held { flows } => {
+      Frame::Restore { flows } => {
         self.restore_flows(now, from, &flows);
         Ok(())
       }
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -34,7 +34,7 @@
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
       | Frame::Fan { .. }
-      | Frame::Held { .. }
+      | Frame::Restore { .. }
       | Frame::Try { .. } => return Err(Code::FrameWrongTarget),
       Frame::Found { flow, service } => self.complete_search(now, from, flow, service, out),
       Frame::Grant(load) => self.accept_grant(now, from, load, out),
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -28,7 +28,7 @@
       "balancer: agent has restarted."
     );
     for part in known.chunks(FLOWS_PER_FRAME) {
-      let frame = Frame::Held {
+      let frame = Frame::Restore {
         flows: part.to_vec(),
       };
       out.frame(agent, &frame, &[]);
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -164,7 +164,7 @@
     service: Digest,
   },
   /// Flows that the balancer knows the agent to own, sent after the agent has restarted.
-  Held {
+  Restore {
     /// The flows.
     flows: Vec<Flow>,
   },
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -119,7 +119,7 @@
 #[test]
 fn a_reset_of_an_open_flow_reaches_the_caller() {
   let mut agent = agent();
-  let restore = Frame::Held {
+  let restore = Frame::Restore {
     flows: vec![flow(1, 1)],
   };
   agent.frame(BALANCER, &restore, &[]);
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -19,7 +19,7 @@
   let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Held { flows }, _)]
+    [Sent::Frame(to, Frame::Restore { flows }, _)]
       if *to == peer(11) && flows[..] == [flow(1, 1)]
   );
 }
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -111,7 +111,7 @@
 fn an_unconfirmed_flow_that_is_bounced_is_not_reported_lost() {
   let mut agent = agent();
   // A balancer considers the agent the flow's owner.
-  let restore = Frame::Held {
+  let restore = Frame::Restore {
     flows: vec![flow(1, 1)],
   };
   agent.frame(1, &restore, &[]);
