--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -160,7 +160,7 @@
       self.gossip.greet(now, Role::Agent(load), from, out);
     }
     match frame {
-      Frame::Ask {
+      Frame::Query {
         complete,
         flows,
         services,
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -30,7 +30,7 @@
       Frame::Absent { flows, known, .. } => {
         self.record_denials(now, from, &flows, &known, packet, out);
       }
-      Frame::Ask { .. }
+      Frame::Query { .. }
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
       | Frame::Fan { .. }
--- a/src/datagram/balancer/queries.rs
+++ b/src/datagram/balancer/queries.rs
@@ -80,7 +80,7 @@
       for flows in flows.chunks(ASKED_MAX) {
         self.charge(now);
         let flows = flows.to_vec();
-        let frame = Frame::Ask {
+        let frame = Frame::Query {
           complete,
           flows,
           services: services.to_vec(),
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -137,7 +137,7 @@
     lost: bool,
   },
   /// Asks an agent which of these flows it owns.
-  Ask {
+  Query {
     /// The revision up to which the sender's catalog is complete.
     complete: Revision,
     /// The flows, each with the acknowledgement number of its caller's latest packet.
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -180,7 +180,7 @@
 fn query(agent: &mut Agent, flows: &[Flow], acknowledges: u32, service: &str) -> Vec<Sent> {
   let service = service.parse::<Service>().expect("a name");
   let flows = flows.iter().map(|flow| (*flow, acknowledges));
-  let frame = Frame::Ask {
+  let frame = Frame::Query {
     complete: KNOWN,
     flows: flows.collect(),
     services: vec![service.digest()],
@@ -223,7 +223,7 @@
 /// The other targets that an agent names to a balancer that knows the target list up to revision
 /// `asker`.
 fn targets_named_to(agent: &mut Agent, asker: u64) -> Known {
-  let query = Frame::Ask {
+  let query = Frame::Query {
     complete: Revision(asker),
     flows: vec![(flow(40_009, 1), 6)],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
@@ -457,7 +457,7 @@
 #[test]
 fn an_agent_sends_its_status_at_the_first_frame_of_a_balancer() {
   let mut agent = Stepped::agent(9, "a", false);
-  let query = Frame::Ask {
+  let query = Frame::Query {
     complete: KNOWN,
     flows: vec![],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -91,7 +91,7 @@
 /// The hosts that were queried about `flow(1, 1)` alone.
 pub fn queried(sent: &[Sent]) -> Vec<u8> {
   let frames = sent.iter().filter_map(|sent| match sent {
-    Sent::Frame(to, Frame::Ask { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
+    Sent::Frame(to, Frame::Query { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
       Some(to.ip().octets()[3])
     }
     _ => None,
--- a/tests/datagram/link.rs
+++ b/tests/datagram/link.rs
@@ -185,7 +185,7 @@
   for port in 1..=2000 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
     let sent = balancer.pass(Duration::from_micros(500));
-    let is_query = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Ask { .. }, _));
+    let is_query = |sent: &&Sent| matches!(sent, Sent::Frame(_, Frame::Query { .. }, _));
     queries += sent.iter().filter(is_query).count();
   }
   // An eighth of the link carries 488 queries in this second.
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -38,7 +38,7 @@
   }
   let sent = balancer.pass(Duration::ZERO);
   let named = sent.iter().map(|sent| match sent {
-    Sent::Frame(_, Frame::Ask { flows, .. }, _) => flows.len(),
+    Sent::Frame(_, Frame::Query { flows, .. }, _) => flows.len(),
     other => panic!("{other:?}"),
   });
   assert_eq!(named.collect::<Vec<_>>(), [48, 48, 4, 48, 48, 4]);
@@ -51,7 +51,7 @@
   for port in 1..=2000 {
     balancer.packet(Packet::data(flow(port, 1), 2, 100));
     for sent in balancer.pass(Duration::from_micros(50)) {
-      if let Sent::Frame(_, Frame::Ask { flows: named, .. }, _) = sent {
+      if let Sent::Frame(_, Frame::Query { flows: named, .. }, _) = sent {
         datagrams += 1;
         flows += named.len();
       }
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -326,7 +326,7 @@
   let mut queried = Vec::new();
   for _ in 0..3 {
     for sent in balancer.pass(Duration::from_millis(50)) {
-      if let Sent::Frame(to, Frame::Ask { flows, .. }, _) = sent
+      if let Sent::Frame(to, Frame::Query { flows, .. }, _) = sent
         && flows.iter().any(|(queried, _)| *queried == flow(1, 3))
       {
         queried.push(to.ip().octets()[3]);
@@ -349,7 +349,7 @@
 #[test]
 fn an_agent_of_another_service_denies_a_flow() {
   let mut agent = agent();
-  let query = Frame::Ask {
+  let query = Frame::Query {
     complete: Revision(2),
     flows: vec![(flow(1, 1), 100)],
     services: vec![crate::support::digest("b"), crate::support::digest("c")],
