--- a/src/datagram/balancer/queries.rs
+++ b/src/datagram/balancer/queries.rs
@@ -1,7 +1,7 @@
 use {
   crate::{
     Revision,
-    datagram::{Flow, Frame, Outbox, Rate, frame::ASKED_MAX, service::Digest},
+    datagram::{Flow, Frame, Outbox, Rate, frame::QUERY_MAX, service::Digest},
   },
   smallvec::SmallVec,
   std::{
@@ -77,7 +77,7 @@
       return;
     }
     for ((agent, services), flows) in std::mem::take(&mut self.pending) {
-      for flows in flows.chunks(ASKED_MAX) {
+      for flows in flows.chunks(QUERY_MAX) {
         self.charge(now);
         let flows = flows.to_vec();
         let frame = Frame::Query {
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -26,7 +26,7 @@
 }
 
 /// The most flows in one query: it fits in a datagram of 1,500 bytes.
-pub const ASKED_MAX: usize = 48;
+pub const QUERY_MAX: usize = 48;
 
 /// What an agent is to do with a caller's packet from a balancer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
