--- a/src/datagram/agent/fan_out.rs
+++ b/src/datagram/agent/fan_out.rs
@@ -29,7 +29,7 @@
         self.take_caller_packet(now, packet, *service, out)?;
         continue;
       }
-      let frame = Frame::Try {
+      let frame = Frame::Test {
         balancer: packet.balancer,
         complete: packet.complete,
         service: *service,
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -175,7 +175,7 @@
         let packet = self.read_caller_packet(from, packet, purpose, complete, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
-      Frame::Fan {
+      Frame::FanOut {
         agents,
         complete,
         version,
@@ -183,7 +183,7 @@
         let packet = self.read_caller_packet(from, packet, Purpose::Test, complete, version)?;
         self.fan_out(now, &packet, &agents, out)
       }
-      Frame::Try {
+      Frame::Test {
         balancer,
         complete,
         service,
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -33,9 +33,9 @@
       Frame::Query { .. }
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
-      | Frame::Fan { .. }
+      | Frame::FanOut { .. }
       | Frame::Restore { .. }
-      | Frame::Try { .. } => return Err(Code::FrameWrongTarget),
+      | Frame::Test { .. } => return Err(Code::FrameWrongTarget),
       Frame::Found { flow, service } => self.complete_search(now, from, flow, service, out),
       Frame::Grant(load) => self.accept_grant(now, from, load, out),
       Frame::Handover { flows, part, parts } => {
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -4,7 +4,7 @@
   super::machine::Machine,
   crate::datagram::{
     Codec, Flow, Frame, Outbox,
-    frame::{Purpose, fan_max},
+    frame::{Purpose, fan_out_max},
     service::Digest,
   },
   std::{
@@ -81,7 +81,7 @@
       self.carry(*agent, Purpose::Test, *service, packet, out);
       return;
     }
-    for agents in agents.chunks(fan_max(packet.len())) {
+    for agents in agents.chunks(fan_out_max(packet.len())) {
       let mut local = agents
         .iter()
         .filter(|(agent, _)| self.targets.is_near(*agent));
@@ -89,7 +89,7 @@
         return;
       };
       self.queries.charge(now);
-      let frame = Frame::Fan {
+      let frame = Frame::FanOut {
         agents: agents.to_vec(),
         complete: self.gossip.catalog().complete(),
         version: self.gossip.catalog().version(),
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -17,7 +17,7 @@
 
 /// The most agents in one `FanOut` frame that is followed by a packet of `packet` bytes: both fit
 /// in a datagram of 1,500 bytes.
-pub fn fan_max(packet: usize) -> usize {
+pub fn fan_out_max(packet: usize) -> usize {
   /// The size of the datagram, in bytes.
   const DATAGRAM: usize = 1400;
   /// The encoded size of an agent and its service, in bytes.
@@ -221,7 +221,7 @@
   },
   /// A test with a caller's packet, which follows, at several agents: the receiver, which is one of
   /// them, forwards it to the others.
-  Fan {
+  FanOut {
     /// The agents, each with its upstream's service.
     agents: Vec<(SocketAddrV4, Digest)>,
     /// The revision up to which the sender's catalog is complete.
@@ -230,7 +230,7 @@
     version: Version,
   },
   /// A test with a caller's packet, which follows, on behalf of a balancer.
-  Try {
+  Test {
     /// The balancer that gets the result.
     balancer: SocketAddrV4,
     /// The revision up to which the balancer's catalog is complete.
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -11,7 +11,7 @@
     Revision,
     datagram::{
       Frame, Machine, Version,
-      frame::{Purpose, fan_max},
+      frame::{Purpose, fan_out_max},
       service::Digest,
     },
   },
@@ -38,7 +38,7 @@
 }
 
 fn flow_test(service: &str) -> Frame {
-  Frame::Try {
+  Frame::Test {
     balancer: peer(BALANCER),
     complete: Revision(2),
     service: digest(service),
@@ -50,7 +50,7 @@
 fn an_agent_forwards_a_test_and_runs_it_itself_where_it_is_named() {
   let mut agent = agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
-  let fan = Frame::Fan {
+  let fan = Frame::FanOut {
     agents: vec![(peer(8), digest("b")), (peer(9), digest("a"))],
     complete: Revision(2),
     version: Version(1),
@@ -80,9 +80,9 @@
 #[test]
 fn a_frame_that_names_agents_fits_a_common_datagram_with_any_packet() {
   for length in [0, 36, 936, 1236, 5000] {
-    let named = fan_max(length);
+    let named = fan_out_max(length);
     assert!(named >= 1);
-    let fan = Frame::Fan {
+    let fan = Frame::FanOut {
       agents: vec![(peer(200), Digest(u64::MAX)); named],
       complete: Revision(u64::from(u32::MAX)),
       version: Version(u64::from(u32::MAX)),
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -102,7 +102,7 @@
       },
       _,
     ) => vec![host(to)],
-    Sent::Frame(_, Frame::Fan { agents, .. }, _) => {
+    Sent::Frame(_, Frame::FanOut { agents, .. }, _) => {
       agents.iter().map(|(agent, _)| host(agent)).collect()
     }
     _ => vec![],
@@ -168,7 +168,7 @@
   for host in [11, 12].into_iter().chain(hosts) {
     fan_outs.extend(balancer.frame(host, &unsure, &[]));
   }
-  fan_outs.retain(|sent| matches!(sent, Sent::Frame(_, Frame::Fan { .. }, _)));
+  fan_outs.retain(|sent| matches!(sent, Sent::Frame(_, Frame::FanOut { .. }, _)));
   // One agent was tested alone before the others had answered.
   assert_eq!(tested(&fan_outs).len(), 61);
   assert_eq!(fan_outs.len(), 1);
