--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -19,7 +19,7 @@
 struct Backlog {
   flows: u16,
   granted: u16,
-  heard: Instant,
+  last_heard: Instant,
 }
 
 impl Backlog {
@@ -57,7 +57,9 @@
       lapsed += 1;
     }
     let is_stale = |at: Instant| now.saturating_duration_since(at) >= BACKLOG_TTL;
-    self.backlogs.retain(|_, backlog| !is_stale(backlog.heard));
+    self
+      .backlogs
+      .retain(|_, backlog| !is_stale(backlog.last_heard));
     lapsed
   }
 
@@ -115,7 +117,7 @@
     let backlog = Backlog {
       flows,
       granted,
-      heard: now,
+      last_heard: now,
     };
     self.backlogs.insert(balancer, backlog);
   }
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -29,7 +29,7 @@
   pub data_centre: String,
   /// When it was removed from the target list.
   pub removed: Option<Instant>,
-  heard: Option<Instant>,
+  last_heard: Option<Instant>,
   incarnation: Option<u32>,
   pub(super) load: Load,
   /// When a flow last failed to open there: it timed out, or the upstream was down, full or of
@@ -49,7 +49,7 @@
       start_time: entry.target.start_time,
       data_centre: String::new(),
       removed: None,
-      heard: None,
+      last_heard: None,
       incarnation: None,
       load: Load::default(),
       open_failed: None,
@@ -97,7 +97,7 @@
 struct RemovedTarget {
   removed: Instant,
   /// When a frame last came from its agent.
-  heard: Option<Instant>,
+  last_heard: Option<Instant>,
   /// When this process learnt of it.
   learnt: Instant,
   service: Service,
@@ -156,7 +156,7 @@
 
   /// How long ago an agent's last frame came, in milliseconds; none if none has come.
   pub fn age_ms(&self, now: Instant, agent: SocketAddrV4) -> Option<u64> {
-    let heard = self.by_agent.get(&agent)?.heard?;
+    let heard = self.by_agent.get(&agent)?.last_heard?;
     Some(now.saturating_duration_since(heard).as_millis() as u64)
   }
 
@@ -195,7 +195,7 @@
     match (self.by_agent.get(&agent), self.tombstones.get(&agent)) {
       (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_heard(now, target),
       (None, Some(tombstone)) => {
-        let last = tombstone.heard.unwrap_or(tombstone.learnt);
+        let last = tombstone.last_heard.unwrap_or(tombstone.learnt);
         is_past_grace(tombstone.removed)
           && now.saturating_duration_since(last) >= self.tuning.silent
       }
@@ -223,7 +223,7 @@
       self.unlisted.remove(&agent);
       let tombstones = RemovedTarget {
         removed: removed.unwrap_or(now),
-        heard: None,
+        last_heard: None,
         learnt: now,
         service: service.clone(),
       };
@@ -266,7 +266,7 @@
   /// it.
   pub fn record_load(&mut self, now: Instant, agent: SocketAddrV4, load: Load) {
     if let Some(target) = self.by_agent.get_mut(&agent) {
-      target.heard = Some(now);
+      target.last_heard = Some(now);
       target.load = load;
       target.pending = 0;
     }
@@ -313,7 +313,7 @@
   ) -> IncarnationChange {
     let Some(target) = self.by_agent.get_mut(&agent) else {
       match self.tombstones.get_mut(&agent) {
-        Some(tombstone) => tombstone.heard = Some(now),
+        Some(tombstone) => tombstone.last_heard = Some(now),
         None => {
           self.unlisted.insert(agent, now);
         }
@@ -350,7 +350,7 @@
         "cost_ms": self.cost(now, target, self.medians(&target.service)),
         "data_centre": target.data_centre,
         "gone_ms": target.removed.map(age),
-        "heard_ms": target.heard.map(age),
+        "heard_ms": target.last_heard.map(age),
         "load": target.load,
         "pending": target.pending,
         "presence": target.presence,
@@ -412,7 +412,7 @@
 
   pub(super) fn is_heard(&self, now: Instant, target: &TargetState) -> bool {
     target
-      .heard
+      .last_heard
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
   }
 }
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -148,7 +148,7 @@
   pub fn present(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
     let timeout = self.tuning.silent;
     let present = move |peer: &Peer| {
-      let last = peer.heard.unwrap_or(peer.since);
+      let last = peer.last_heard.unwrap_or(peer.since);
       peer.balancer && now.saturating_duration_since(last) < timeout
     };
     let peers = self.peers.iter();
@@ -171,7 +171,7 @@
   pub fn expire(&mut self, now: Instant) {
     self.catalog.expire(now);
     self.peers.retain(|_, peer| {
-      let last = peer.heard.unwrap_or(peer.since);
+      let last = peer.last_heard.unwrap_or(peer.since);
       now.saturating_duration_since(last) < PEER_TTL
     });
   }
@@ -183,8 +183,8 @@
       .entry(from)
       .or_insert_with(|| Peer::new(now, balancer));
     let expired = |heard| now.saturating_duration_since(heard) >= LOST_AFTER;
-    let lost = peer.heard.is_none_or(expired);
-    peer.heard = Some(now);
+    let lost = peer.last_heard.is_none_or(expired);
+    peer.last_heard = Some(now);
     if lost && balancer {
       log::info!(peer:% = from; "spread: balancer is heard from.");
     }
@@ -312,7 +312,7 @@
         "address": address.to_string(),
         "balancer": peer.balancer,
         "complete": peer.complete,
-        "heard_ms": peer.heard.map(age),
+        "heard_ms": peer.last_heard.map(age),
         "stopping": peer.stopping,
       })
     });
@@ -365,7 +365,7 @@
   /// Whether a process has never been heard from.
   pub fn is_new(&self, process: SocketAddrV4) -> bool {
     let peer = self.peers.get(&process);
-    peer.is_none_or(|peer| peer.heard.is_none())
+    peer.is_none_or(|peer| peer.last_heard.is_none())
   }
 
   /// Whether the overlay is a full mesh. Otherwise a process that is never heard from may still be
@@ -393,7 +393,7 @@
 
   fn is_heard(&self, now: Instant, peer: &Peer) -> bool {
     peer
-      .heard
+      .last_heard
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
   }
 
--- a/src/datagram/gossip/peer.rs
+++ b/src/datagram/gossip/peer.rs
@@ -12,7 +12,7 @@
   /// The incarnation that sent its latest status.
   pub incarnation: Option<u32>,
   /// When a frame last arrived from it.
-  pub heard: Option<Instant>,
+  pub last_heard: Option<Instant>,
   /// Base-2 logarithm of its link's rate in bytes per second; 0 if unknown.
   pub link: u8,
   /// When this process learned of it.
@@ -30,7 +30,7 @@
       balancer,
       complete: Revision::default(),
       data_centre: None,
-      heard: None,
+      last_heard: None,
       incarnation: None,
       link: 0,
       since: now,
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -64,7 +64,9 @@
     let balancer = self.balancer;
     for (address, peer) in &mut self.peers {
       let since = |at: Instant| now.saturating_duration_since(at);
-      let unresponsive = peer.heard.is_none_or(|heard| since(heard) >= tuning.silent);
+      let unresponsive = peer
+        .last_heard
+        .is_none_or(|heard| since(heard) >= tuning.silent);
       let local = peer.data_centre == Some(self.data_centre);
       let interval = match (unresponsive, local) {
         (true, _) => RETRY_INTERVAL,
@@ -75,7 +77,9 @@
       if !peer.balancer || sent {
         continue;
       }
-      let recent = peer.heard.is_some_and(|heard| since(heard) < REPLY_FOR);
+      let recent = peer
+        .last_heard
+        .is_some_and(|heard| since(heard) < REPLY_FOR);
       let linked = if balancer {
         links.has(*address)
       } else {
