--- a/src/datagram/agent/answers.rs
+++ b/src/datagram/agent/answers.rs
@@ -32,7 +32,7 @@
       self.take_bounced(now, &head, packet, out);
       return Ok(());
     }
-    self.heard(now);
+    self.note_heard(now);
     if head.resets && self.is_under_test(&head.flow) {
       self.fail_test(now, head.flow, out);
       return Ok(());
@@ -59,8 +59,8 @@
   }
 
   /// Records a sign of life of the upstream. One that was down until then may have restarted.
-  fn heard(&mut self, now: Instant) {
-    if self.work.heard(now) {
+  fn note_heard(&mut self, now: Instant) {
+    if self.work.note_heard(now) {
       self.suspect_restart(now);
     }
   }
@@ -130,7 +130,7 @@
     out: &mut Outbox,
   ) {
     let flow = head.flow;
-    self.heard(now);
+    self.note_heard(now);
     let entry = self.flows.get(&flow).copied();
     if !head.opens && entry.is_some_and(|entry| entry.state == FlowState::Open) {
       // The upstream has lost a flow that it owned.
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -32,7 +32,7 @@
     service: Digest,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.gossip.heard(now, packet.balancer, true);
+    self.gossip.note_heard(now, packet.balancer, true);
     if service != self.upstream.service.digest() {
       self.refuse(now, packet, Refusal::Service, out);
       return Err(Code::FrameWrongService);
@@ -163,7 +163,7 @@
     complete: Revision,
     out: &mut Outbox,
   ) -> Result<(), Code> {
-    self.gossip.heard(now, from, true);
+    self.gossip.note_heard(now, from, true);
     if !services.contains(&self.upstream.service.digest()) {
       let known = self.known_targets(now, complete);
       let flows = flows.iter().map(|(flow, _)| *flow).collect();
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -162,7 +162,7 @@
 
   /// Stops the timer of `await_answer`, as the upstream sent a packet; true if it was down until
   /// then.
-  pub fn heard(&mut self, now: Instant) -> bool {
+  pub fn note_heard(&mut self, now: Instant) -> bool {
     let unanswered = self.unanswered_since.take();
     unanswered.is_some_and(|since| now.saturating_duration_since(since) >= DOWN_AFTER)
   }
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -177,7 +177,7 @@
   }
 
   /// Records that a frame arrived from a process.
-  pub fn heard(&mut self, now: Instant, from: SocketAddrV4, balancer: bool) {
+  pub fn note_heard(&mut self, now: Instant, from: SocketAddrV4, balancer: bool) {
     let peer = self
       .peers
       .entry(from)
@@ -275,7 +275,7 @@
   /// Handles the status of another process.
   pub fn status(&mut self, now: Instant, from: SocketAddrV4, status: &Status) {
     let balancer = status.role == Role::Balancer;
-    self.heard(now, from, balancer);
+    self.note_heard(now, from, balancer);
     for other in &status.balancers {
       if *other != self.address && self.balancer {
         self
