--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -94,7 +94,7 @@
     if target.load.down || target.open_failed.is_some_and(is_recent) {
       cost += 2.0 * UNAVAILABLE_MS;
     }
-    if target.stopping || !self.is_heard(now, target) {
+    if target.stopping || !self.is_alive(now, target) {
       cost += UNAVAILABLE_MS;
     }
     if is_fast_failing(target, medians) {
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -193,7 +193,7 @@
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
     match (self.by_agent.get(&agent), self.tombstones.get(&agent)) {
-      (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_heard(now, target),
+      (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_alive(now, target),
       (None, Some(tombstone)) => {
         let last = tombstone.last_heard.unwrap_or(tombstone.learnt);
         is_past_grace(tombstone.removed)
@@ -410,7 +410,7 @@
     }
   }
 
-  pub(super) fn is_heard(&self, now: Instant, target: &TargetState) -> bool {
+  pub(super) fn is_alive(&self, now: Instant, target: &TargetState) -> bool {
     target
       .last_heard
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -139,7 +139,7 @@
   /// The balancers that have been heard from within the peer timeout.
   pub fn balancers(&self, now: Instant) -> Vec<SocketAddrV4> {
     let live = self.peers.iter();
-    let live = live.filter(|(_, peer)| peer.balancer && self.is_heard(now, peer));
+    let live = live.filter(|(_, peer)| peer.balancer && self.is_alive(now, peer));
     live.map(|(address, _)| *address).collect()
   }
 
@@ -391,7 +391,7 @@
     self.version
   }
 
-  fn is_heard(&self, now: Instant, peer: &Peer) -> bool {
+  fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
     peer
       .last_heard
       .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
--- a/src/datagram/gossip/reading.rs
+++ b/src/datagram/gossip/reading.rs
@@ -28,7 +28,7 @@
     }
     let own = rank(self.address, self.link);
     let live = self.peers.iter();
-    let live = live.filter(|(_, peer)| peer.balancer && !peer.stopping && self.is_heard(now, peer));
+    let live = live.filter(|(_, peer)| peer.balancer && !peer.stopping && self.is_alive(now, peer));
     let before = live
       .filter(|(address, peer)| rank(**address, peer.link) < own)
       .count();
