--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -241,7 +241,7 @@
     let was_narrow = !search.is_wide;
     // An agent that exchanges no statuses with this balancer gets time to answer before it counts
     // as lost.
-    let is_early = now.saturating_duration_since(search.started) < self.tuning.silent;
+    let is_early = now.saturating_duration_since(search.started) < self.tuning.peer_timeout;
     let may_answer = is_early && !self.gossip.knows_all();
     search.retain_pending(|agent| may_answer || !targets.is_lost(now, agent));
     self.query_rest(now, flow, out);
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -188,7 +188,7 @@
   /// the agent has sent nothing within the timeout.
   pub fn is_lost(&self, now: Instant, agent: SocketAddrV4) -> bool {
     // This process may not have run long enough to receive a status from every agent.
-    if now.saturating_duration_since(self.started) < self.tuning.silent {
+    if now.saturating_duration_since(self.started) < self.tuning.peer_timeout {
       return false;
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
@@ -197,7 +197,7 @@
       (None, Some(tombstone)) => {
         let last = tombstone.last_heard.unwrap_or(tombstone.learnt);
         is_past_grace(tombstone.removed)
-          && now.saturating_duration_since(last) >= self.tuning.silent
+          && now.saturating_duration_since(last) >= self.tuning.peer_timeout
       }
       (None, None) => !self.unlisted.contains_key(&agent),
     }
@@ -365,7 +365,7 @@
   /// Discards reported targets that were removed from the target list longer ago than a flow lives,
   /// and unlisted agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
-    let (life, silent) = (self.tuning.amnesia, self.tuning.silent);
+    let (life, silent) = (self.tuning.amnesia, self.tuning.peer_timeout);
     self
       .unlisted
       .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
@@ -413,7 +413,7 @@
   pub(super) fn is_alive(&self, now: Instant, target: &TargetState) -> bool {
     target
       .last_heard
-      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
+      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.peer_timeout)
   }
 }
 
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -146,7 +146,7 @@
   /// The balancers that may be alive: heard from within the peer timeout, or known for less than
   /// that and not heard from yet.
   pub fn present(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
-    let timeout = self.tuning.silent;
+    let timeout = self.tuning.peer_timeout;
     let present = move |peer: &Peer| {
       let last = peer.last_heard.unwrap_or(peer.since);
       peer.balancer && now.saturating_duration_since(last) < timeout
@@ -394,7 +394,7 @@
   fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
     peer
       .last_heard
-      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
+      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.peer_timeout)
   }
 
   fn request_update(&mut self, now: Instant, from: SocketAddrV4, revision: Revision) {
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -66,7 +66,7 @@
       let since = |at: Instant| now.saturating_duration_since(at);
       let unresponsive = peer
         .last_heard
-        .is_none_or(|heard| since(heard) >= tuning.silent);
+        .is_none_or(|heard| since(heard) >= tuning.peer_timeout);
       let local = peer.data_centre == Some(self.data_centre);
       let interval = match (unresponsive, local) {
         (true, _) => RETRY_INTERVAL,
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -104,7 +104,7 @@
   /// How long a reset flow is remembered.
   pub dead: Duration,
   /// The interval of statuses to balancers of other data centres, where traffic is paid for;
-  /// shorter than `silent`.
+  /// shorter than `peer_timeout`.
   pub far: Duration,
   /// The interval of a balancer's statuses to agents of other data centres. Updates are pushed to
   /// them at once.
@@ -128,7 +128,7 @@
   /// The most bytes of packets that are buffered while their flows are searched.
   pub search_bytes: usize,
   /// The time without a frame after which a process counts as unresponsive.
-  pub silent: Duration,
+  pub peer_timeout: Duration,
   /// The longest interval between two statuses of a process.
   pub status: Duration,
   /// How old the platform's latest confirmation of the catalog may become before a balancer reads
@@ -160,7 +160,7 @@
       search: Duration::from_millis(150),
       search_bytes: 4 << 20,
       search_local: Duration::from_millis(50),
-      silent: Duration::from_millis(1500),
+      peer_timeout: Duration::from_millis(1500),
       status: Duration::from_millis(500),
       takeover: Duration::from_millis(1800),
       wait_part: 0.55,
