--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -45,7 +45,7 @@
     if now < self.next_remote_agents {
       return;
     }
-    self.next_remote_agents = now + self.tuning.far_agent;
+    self.next_remote_agents = now + self.tuning.remote_agent_status;
     let links = self.links();
     for agent in agents.far.iter().filter(|agent| links.has(**agent)) {
       out.frame(*agent, &frame, &[]);
@@ -71,7 +71,7 @@
       let interval = match (unresponsive, local) {
         (true, _) => RETRY_INTERVAL,
         (false, true) => Duration::ZERO,
-        (false, false) => tuning.far,
+        (false, false) => tuning.remote_status,
       };
       let sent = peer.last_sent.is_some_and(|at| since(at) < interval);
       if !peer.balancer || sent {
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -105,10 +105,10 @@
   pub dead: Duration,
   /// The interval of statuses to balancers of other data centres, where traffic is paid for;
   /// shorter than `peer_timeout`.
-  pub far: Duration,
+  pub remote_status: Duration,
   /// The interval of a balancer's statuses to agents of other data centres. Updates are pushed to
   /// them at once.
-  pub far_agent: Duration,
+  pub remote_agent_status: Duration,
   /// The most flows that are remembered.
   pub flows_max: usize,
   /// The idle timeout of flows before there is a configuration.
@@ -150,8 +150,8 @@
       crossing: (30.0, 12.0),
       dead: Duration::from_secs(3),
       expected: (Duration::from_millis(20), Duration::from_millis(300)),
-      far: Duration::from_millis(700),
-      far_agent: Duration::from_secs(2),
+      remote_status: Duration::from_millis(700),
+      remote_agent_status: Duration::from_secs(2),
       flows_max: 200_000,
       idle: Duration::from_mins(1),
       open_wait: Duration::from_millis(40),
