--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -146,9 +146,9 @@
     let listed = self.by_agent.iter();
     for (agent, target) in listed.filter(|(_, target)| target.removed.is_none()) {
       if target.data_centre == self.data_centre {
-        agents.near.push(*agent);
+        agents.local.push(*agent);
       } else {
-        agents.far.push(*agent);
+        agents.remote.push(*agent);
       }
     }
     agents
@@ -174,14 +174,14 @@
   }
 
   /// Whether an agent's target is known to be in this data centre.
-  pub fn is_near(&self, agent: SocketAddrV4) -> bool {
+  pub fn is_local(&self, agent: SocketAddrV4) -> bool {
     let target = self.by_agent.get(&agent);
     target.is_some_and(|target| target.data_centre == self.data_centre)
   }
 
   /// Those of the holders that are in this data centre.
   pub fn local_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
-    self.holders(services).filter(|agent| self.is_near(*agent))
+    self.holders(services).filter(|agent| self.is_local(*agent))
   }
 
   /// Whether an agent counts as lost: its target was removed from the target list, or is unknown, and
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -84,7 +84,7 @@
     for agents in agents.chunks(fan_out_max(packet.len())) {
       let mut local = agents
         .iter()
-        .filter(|(agent, _)| self.targets.is_near(*agent));
+        .filter(|(agent, _)| self.targets.is_local(*agent));
       let Some((relay, _)) = local.next().or(agents.first()) else {
         return;
       };
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Agents {
   /// Agents in other data centres.
-  pub far: Vec<SocketAddrV4>,
+  pub remote: Vec<SocketAddrV4>,
   /// Agents in this data centre.
-  pub near: Vec<SocketAddrV4>,
+  pub local: Vec<SocketAddrV4>,
 }
 
 /// Keeps the catalog and replicates it by gossip. A few balancers read the platform and push its
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -39,7 +39,7 @@
     }
     self.tell_now(now, role, out);
     let frame = Frame::Status(self.own_status(now, Role::Balancer));
-    for agent in &agents.near {
+    for agent in &agents.local {
       out.frame(*agent, &frame, &[]);
     }
     if now < self.next_remote_agents {
@@ -47,7 +47,7 @@
     }
     self.next_remote_agents = now + self.tuning.remote_agent_status;
     let links = self.links();
-    for agent in agents.far.iter().filter(|agent| links.has(**agent)) {
+    for agent in agents.remote.iter().filter(|agent| links.has(**agent)) {
       out.frame(*agent, &frame, &[]);
     }
   }
