--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -110,7 +110,7 @@
     let recovering = if settings.first_start {
       Duration::ZERO
     } else {
-      tuning.amnesia
+      tuning.flow_lifetime
     };
     Self {
       awaiting_request: BTreeSet::new(),
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -221,7 +221,7 @@
       .handovers
       .retain(|_, handover| handover.age(now) < HANDOVER_TTL);
     self.gossip.expire(now);
-    self.history.expire(now, self.tuning.amnesia);
+    self.history.expire(now, self.tuning.flow_lifetime);
     self.targets.expire(now);
     self.targets.update(self.gossip.catalog());
   }
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -365,7 +365,7 @@
   /// Discards reported targets that were removed from the target list longer ago than a flow lives,
   /// and unlisted agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
-    let (life, silent) = (self.tuning.amnesia, self.tuning.peer_timeout);
+    let (life, silent) = (self.tuning.flow_lifetime, self.tuning.peer_timeout);
     self
       .unlisted
       .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -94,7 +94,7 @@
 pub struct Tuning {
   /// The longest life of a flow, hence how long after its start an agent may get packets of flows
   /// that it doesn't know.
-  pub amnesia: Duration,
+  pub flow_lifetime: Duration,
   /// The price of placing a flow in another data centre, as milliseconds of waiting: per flow, and
   /// per kilobyte of a request and its answer.
   pub crossing: (f64, f64),
@@ -146,7 +146,7 @@
 impl Default for Tuning {
   fn default() -> Self {
     Self {
-      amnesia: Duration::from_mins(1),
+      flow_lifetime: Duration::from_mins(1),
       crossing: (30.0, 12.0),
       dead: Duration::from_secs(3),
       expected: (Duration::from_millis(20), Duration::from_millis(300)),
