--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -69,7 +69,7 @@
 
   /// Limits new flows as during a warm-up, since the upstream may have restarted unnoticed.
   pub(super) fn suspect_restart(&mut self, now: Instant) {
-    let known = self.gossip.catalog().complete();
+    let known = self.gossip.catalog().synced();
     self.cold.suspect_restart(now, known);
   }
 
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -98,7 +98,7 @@
       if recovering {
         self.start_test(now, packet, out);
       } else {
-        send_absent(packet, self.known_targets(now, packet.complete), out);
+        send_absent(packet, self.known_targets(now, packet.synced), out);
       }
       return;
     };
@@ -113,13 +113,13 @@
         return;
       }
       FlowState::Opening | FlowState::Absent => {
-        send_absent(packet, self.known_targets(now, packet.complete), out);
+        send_absent(packet, self.known_targets(now, packet.synced), out);
         return;
       }
       FlowState::Open | FlowState::Tested { .. } => {}
     }
     entry.last_packet = now;
-    entry.asker_revision = packet.complete;
+    entry.asker_revision = packet.synced;
     entry.balancer = Some(packet.balancer);
     let is_tested = matches!(entry.state, FlowState::Tested { .. });
     if is_tested && packet.purpose == Purpose::Test {
@@ -160,12 +160,12 @@
     from: SocketAddrV4,
     flows: &[(Flow, u32)],
     services: &[Digest],
-    complete: Revision,
+    synced: Revision,
     out: &mut Outbox,
   ) -> Result<(), Code> {
     self.gossip.note_heard(now, from, true);
     if !services.contains(&self.upstream.service.digest()) {
-      let known = self.known_targets(now, complete);
+      let known = self.known_targets(now, synced);
       let flows = flows.iter().map(|(flow, _)| *flow).collect();
       let lost = false;
       out.frame(from, &Frame::Absent { flows, known, lost }, &[]);
@@ -188,7 +188,7 @@
       out.frame(from, &frame, &[]);
     }
     if !absent.is_empty() {
-      let known = self.known_targets(now, complete);
+      let known = self.known_targets(now, synced);
       let (flows, lost) = (absent, false);
       out.frame(from, &Frame::Absent { flows, known, lost }, &[]);
     }
@@ -240,7 +240,7 @@
       .flows
       .entry(flow)
       .or_insert(FlowEntry::new(now, state, None));
-    entry.asker_revision = packet.complete;
+    entry.asker_revision = packet.synced;
     entry.balancer = Some(packet.balancer);
     entry.last_packet = now;
     entry.state = state;
@@ -277,13 +277,13 @@
       let load = self.load(now);
       log::info!(
         flow:% = flow, reason:? = refusal, work = load.work, service_ms = load.service_ms,
-        slots = self.slots(), complete:% = self.gossip.catalog().complete();
+        slots = self.slots(), synced:% = self.gossip.catalog().synced();
         "agent: refused to open a flow."
       );
       let frame = Frame::Refused(flow, refusal, load);
       out.frame(packet.balancer, &frame, &[]);
     } else {
-      send_absent(packet, self.known_targets(now, packet.complete), out);
+      send_absent(packet, self.known_targets(now, packet.synced), out);
     }
   }
 
@@ -303,7 +303,7 @@
   /// the asker needs no later list to conclude that a flow is lost, even while the list keeps
   /// changing.
   pub(super) fn known_targets(&self, now: Instant, asker: Revision) -> Known {
-    let complete = self.gossip.catalog().complete();
+    let synced = self.gossip.catalog().synced();
     let entries = self.gossip.catalog().entries();
     let tombstones = entries.filter_map(|(_, entry)| {
       let age = match entry.removed {
@@ -319,11 +319,7 @@
     let tombstones = tombstones.take(KNOWN_MAX).collect::<Vec<_>>();
     let all_named = tombstones.len() < KNOWN_MAX;
     Known {
-      complete: if all_named {
-        complete.min(asker)
-      } else {
-        complete
-      },
+      synced: if all_named { synced.min(asker) } else { synced },
       tombstones,
     }
   }
--- a/src/datagram/agent/fan_out.rs
+++ b/src/datagram/agent/fan_out.rs
@@ -31,7 +31,7 @@
       }
       let frame = Frame::Test {
         balancer: packet.balancer,
-        complete: packet.complete,
+        synced: packet.synced,
         service: *service,
         version: packet.version,
       };
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -44,7 +44,7 @@
   pub(super) balancer: SocketAddrV4,
   pub(super) bytes: &'a [u8],
   /// The revision up to which the balancer knows the target list.
-  pub(super) complete: Revision,
+  pub(super) synced: Revision,
   pub(super) head: Head,
   pub(super) purpose: Purpose,
   /// The version of the balancer's configuration.
@@ -161,35 +161,35 @@
     }
     match frame {
       Frame::Query {
-        complete,
+        synced,
         flows,
         services,
-      } => self.answer_query(now, from, &flows, &services, complete, out),
+      } => self.answer_query(now, from, &flows, &services, synced, out),
       Frame::Backlog { flows, service } => self.set_backlog(now, from, flows, service),
       Frame::Carry {
-        complete,
+        synced,
         purpose,
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, purpose, complete, version)?;
+        let packet = self.read_caller_packet(from, packet, purpose, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
       Frame::FanOut {
         agents,
-        complete,
+        synced,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, Purpose::Test, complete, version)?;
+        let packet = self.read_caller_packet(from, packet, Purpose::Test, synced, version)?;
         self.fan_out(now, &packet, &agents, out)
       }
       Frame::Test {
         balancer,
-        complete,
+        synced,
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, complete, version)?;
+        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
@@ -218,13 +218,13 @@
     balancer: SocketAddrV4,
     bytes: &'a [u8],
     purpose: Purpose,
-    complete: Revision,
+    synced: Revision,
     version: Version,
   ) -> Result<CallerPacket<'a>, Code> {
     Ok(CallerPacket {
       balancer,
       bytes,
-      complete,
+      synced,
       head: self.codec.read_from_caller(bytes)?,
       purpose,
       version,
@@ -239,11 +239,11 @@
     update: Update,
     out: &mut Outbox,
   ) {
-    let first = self.gossip.catalog().complete() == Revision::default();
+    let first = self.gossip.catalog().synced() == Revision::default();
     let change = self.gossip.update(now, origin, update, out);
     if first {
       // The first target list may have been written before a suspected restart.
-      self.cold.extend_suspicion(self.gossip.catalog().complete());
+      self.cold.extend_suspicion(self.gossip.catalog().synced());
     }
     self.apply_change(now, &change);
   }
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -192,8 +192,8 @@
     }
     self.place_queued(now, out);
     self.poll_restarts(now, out);
-    let complete = self.gossip.catalog().complete();
-    self.queries.send(now, complete, out);
+    let synced = self.gossip.catalog().synced();
+    self.queries.send(now, synced, out);
     if now >= self.last_expiry + EXPIRY_INTERVAL {
       self.last_expiry = now;
       self.expire(now);
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -122,7 +122,7 @@
     out: &mut Outbox,
   ) {
     let frame = Frame::Carry {
-      complete: self.gossip.catalog().complete(),
+      synced: self.gossip.catalog().synced(),
       purpose,
       service,
       version: self.gossip.catalog().version(),
--- a/src/datagram/balancer/queries.rs
+++ b/src/datagram/balancer/queries.rs
@@ -72,7 +72,7 @@
 
   /// Sends all queries if the rate allows; `complete` is the revision up to which this balancer
   /// knows the target list.
-  pub fn send(&mut self, now: Instant, complete: Revision, out: &mut Outbox) {
+  pub fn send(&mut self, now: Instant, synced: Revision, out: &mut Outbox) {
     if self.deadline().is_none_or(|deadline| deadline > now) {
       return;
     }
@@ -81,7 +81,7 @@
         self.charge(now);
         let flows = flows.to_vec();
         let frame = Frame::Query {
-          complete,
+          synced,
           flows,
           services: services.to_vec(),
         };
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -82,7 +82,7 @@
     packet: &[u8],
     out: &mut Outbox,
   ) {
-    self.gossip.is_behind(now, from, known.complete);
+    self.gossip.is_behind(now, from, known.synced);
     self.add_removed_targets(now, from, flows, known);
     for flow in flows {
       let place = self.flows.get(flow);
@@ -94,7 +94,7 @@
       if let Some(search) = self.searches.get_mut(flow) {
         search.record_denial(from);
         // A target that is not known here yet may own the flow.
-        search.required_revision = search.required_revision.max(known.complete);
+        search.required_revision = search.required_revision.max(known.synced);
         self.advance_search(now, *flow, out);
       }
     }
@@ -173,7 +173,7 @@
     let holders = self.targets.holders(&services);
     // Agents that have become known meanwhile are included.
     let (new, acknowledges) = (search.add_queried(holders), search.acknowledges);
-    let is_up_to_date = self.gossip.catalog().complete() >= search.required_revision;
+    let is_up_to_date = self.gossip.catalog().synced() >= search.required_revision;
     if !search.pending.is_empty() {
       self.query(now, flow, acknowledges, &new);
       self.test_unsure(now, flow, out);
@@ -190,7 +190,7 @@
     }
     log::info!(
       flow:% = flow, queried = queried, acknowledges = acknowledges,
-      complete:% = self.gossip.catalog().complete(), confirmed:? = self.gossip.confirmed(now);
+      synced:% = self.gossip.catalog().synced(), confirmed:? = self.gossip.confirmed(now);
       "balancer: flow is denied by all agents and is reset."
     );
     self.mark_dead(now, flow, acknowledges, out);
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -91,7 +91,7 @@
       self.queries.charge(now);
       let frame = Frame::FanOut {
         agents: agents.to_vec(),
-        complete: self.gossip.catalog().complete(),
+        synced: self.gossip.catalog().synced(),
         version: self.gossip.catalog().version(),
       };
       out.frame(*relay, &frame, packet);
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
   evacuations: Evacuations,
-  complete: Revision,
+  synced: Revision,
   /// The latest change of each route since the first configuration received here, including removed
   /// routes.
   changed: Changed,
@@ -68,8 +68,8 @@
   }
 
   /// The revision up to which no record is missing.
-  pub fn complete(&self) -> Revision {
-    self.complete
+  pub fn synced(&self) -> Revision {
+    self.synced
   }
 
   /// The configuration in force.
@@ -117,9 +117,9 @@
   pub fn offer(&mut self, now: Instant, update: Update) -> Change {
     let mut change = Change::default();
     // A snapshot that is older than the catalog would remove targets that were added since.
-    let snapshot = update.after.is_none() && update.to >= self.complete;
+    let snapshot = update.after.is_none() && update.to >= self.synced;
     let listed = snapshot.then(|| Listed::of(&update));
-    if self.complete == Revision::default() {
+    if self.synced == Revision::default() {
       self.removals_from = update.to;
     }
     for record in update.records {
@@ -128,8 +128,8 @@
     if let Some(listed) = listed {
       self.drop_unlisted(now, update.to, &listed, &mut change);
     }
-    if update.after.is_none_or(|after| after <= self.complete) {
-      self.complete = self.complete.max(update.to);
+    if update.after.is_none_or(|after| after <= self.synced) {
+      self.synced = self.synced.max(update.to);
     }
     change
   }
@@ -191,7 +191,7 @@
     Update {
       after: (!snapshot).then_some(after),
       records: evacuations.chain(configuration).chain(targets).collect(),
-      to: self.complete,
+      to: self.synced,
     }
   }
 
@@ -227,7 +227,7 @@
         revision,
       } => {
         let known = self.configuration.as_ref();
-        if let Some((current, before)) = known.filter(|_| after <= self.complete)
+        if let Some((current, before)) = known.filter(|_| after <= self.synced)
           && *current < revision
         {
           let configuration = amendment.amend(before);
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -44,7 +44,7 @@
 pub struct Known {
   /// The revision that the receiver's catalog has to reach before the targets in it, together with
   /// those named here, are all that may own the flow.
-  pub complete: Revision,
+  pub synced: Revision,
   /// Targets of the agent's service that were removed from the target list, by the addresses of
   /// their upstreams, and how long ago, in milliseconds: the platform may have removed them while
   /// they are alive. Also listed targets that are newer than the receiver's catalog.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
   /// The revision up to which its catalog is complete.
-  pub complete: Revision,
+  pub synced: Revision,
   /// How long ago the platform confirmed the catalog, in milliseconds; none before the first
   /// confirmation.
   pub confirmed_ms: Option<u32>,
@@ -139,7 +139,7 @@
   /// Asks an agent which of these flows it owns.
   Query {
     /// The revision up to which the sender's catalog is complete.
-    complete: Revision,
+    synced: Revision,
     /// The flows, each with the acknowledgement number of its caller's latest packet.
     flows: Vec<(Flow, u32)>,
     /// The services that may own them.
@@ -148,7 +148,7 @@
   /// Forwards a caller's packet, which follows.
   Carry {
     /// The revision up to which the sender's catalog is complete.
-    complete: Revision,
+    synced: Revision,
     /// What the agent is to do with it.
     purpose: Purpose,
     /// The service that the packet is meant for.
@@ -225,7 +225,7 @@
     /// The agents, each with its upstream's service.
     agents: Vec<(SocketAddrV4, Digest)>,
     /// The revision up to which the sender's catalog is complete.
-    complete: Revision,
+    synced: Revision,
     /// The version of the configuration that the sender applies.
     version: Version,
   },
@@ -234,7 +234,7 @@
     /// The balancer that gets the result.
     balancer: SocketAddrV4,
     /// The revision up to which the balancer's catalog is complete.
-    complete: Revision,
+    synced: Revision,
     /// The service that the packet is meant for.
     service: Digest,
     /// The version of the configuration that the balancer applies.
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -200,10 +200,10 @@
 
   /// Whether a peer whose catalog is complete up to a revision is ahead of this one. If so,
   /// requests the missing update from it.
-  pub fn is_behind(&mut self, now: Instant, peer: SocketAddrV4, complete: Revision) -> bool {
-    let behind = complete > self.catalog.complete();
+  pub fn is_behind(&mut self, now: Instant, peer: SocketAddrV4, synced: Revision) -> bool {
+    let behind = synced > self.catalog.synced();
     if behind {
-      self.request_update(now, peer, complete);
+      self.request_update(now, peer, synced);
     }
     behind
   }
@@ -217,7 +217,7 @@
     update: Update,
     out: &mut Outbox,
   ) -> Change {
-    let (after, to) = (self.catalog.complete(), update.to);
+    let (after, to) = (self.catalog.synced(), update.to);
     // The change happened since the platform was last heard from.
     let age = self.confirmed(now);
     let missing = update.after.is_some_and(|from| from > after);
@@ -235,7 +235,7 @@
     if !change.is_empty() {
       self.version += 1;
       log::info!(
-        version:% = self.catalog.version(), revision:% = self.catalog.complete(),
+        version:% = self.catalog.version(), revision:% = self.catalog.synced(),
         origin:? = origin, targets = change.targets.len(), configuration = change.configuration;
         "spread: update is applied."
       );
@@ -245,7 +245,7 @@
     }
     // Pushed even if it changes nothing: receivers learn that the catalog is complete up to here
     // and don't request an update.
-    if origin == Origin::Platform && self.catalog.complete() > after {
+    if origin == Origin::Platform && self.catalog.synced() > after {
       self.push(now, after, out);
     }
     change
@@ -286,7 +286,7 @@
     }
     if let Some(peer) = self.peers.get_mut(&from) {
       peer.balancer = balancer;
-      peer.complete = status.complete;
+      peer.synced = status.synced;
       peer.data_centre = Some(status.data_centre);
       if peer.incarnation.replace(status.incarnation) != Some(status.incarnation) {
         // A new incarnation doesn't know this process yet.
@@ -295,7 +295,7 @@
       peer.link = status.link;
       peer.stopping = status.stopping;
     }
-    if !self.is_behind(now, from, status.complete)
+    if !self.is_behind(now, from, status.synced)
       && let Some(ms) = status.confirmed_ms
     {
       let confirmed = now.checked_sub(Duration::from_millis(ms.into()));
@@ -311,7 +311,7 @@
       json!({
         "address": address.to_string(),
         "balancer": peer.balancer,
-        "complete": peer.complete,
+        "complete": peer.synced,
         "heard_ms": peer.last_heard.map(age),
         "stopping": peer.stopping,
       })
@@ -328,7 +328,7 @@
     json!({
       "address": self.address.to_string(),
       "closed": self.catalog.evacuations().closed().collect::<Vec<_>>(),
-      "complete": self.catalog.complete(),
+      "complete": self.catalog.synced(),
       "confirmed_ms": self.confirmed.map(age),
       "incarnation": self.incarnation,
       "peers": peers.collect::<Vec<_>>(),
@@ -409,7 +409,7 @@
       "spread: peer is ahead; requesting the update."
     );
     self.pull = Some((from, now));
-    self.wanted = Some((from, self.catalog.complete()));
+    self.wanted = Some((from, self.catalog.synced()));
   }
 }
 
--- a/src/datagram/gossip/peer.rs
+++ b/src/datagram/gossip/peer.rs
@@ -6,7 +6,7 @@
   /// Whether it is a balancer.
   pub balancer: bool,
   /// The revision up to which its catalog is complete.
-  pub complete: Revision,
+  pub synced: Revision,
   /// The hash of its data centre's name; none before its first status.
   pub data_centre: Option<u32>,
   /// The incarnation that sent its latest status.
@@ -28,7 +28,7 @@
   pub fn new(now: Instant, balancer: bool) -> Self {
     Self {
       balancer,
-      complete: Revision::default(),
+      synced: Revision::default(),
       data_centre: None,
       last_heard: None,
       incarnation: None,
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -108,7 +108,7 @@
     balancers.truncate(BALANCERS_MAX);
     Status {
       balancers,
-      complete: self.catalog.complete(),
+      synced: self.catalog.synced(),
       confirmed_ms: self.confirmed(now).map(|age| age.as_millis() as u32),
       data_centre: self.data_centre,
       incarnation: self.incarnation,
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -236,10 +236,7 @@
     self.reader = Some((at, reader));
     let catalog = gossip.catalog();
     let reading = Reading {
-      after: catalog
-        .configuration()
-        .is_some()
-        .then(|| catalog.complete()),
+      after: catalog.configuration().is_some().then(|| catalog.synced()),
       wanted: reader,
     };
     self.shared.reading.send_if_modified(|current| {
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -68,7 +68,7 @@
       "weights": weights,
     },
     "generation": catalog.version(),
-    "revision": catalog.complete(),
+    "revision": catalog.synced(),
   })
 }
 
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -34,7 +34,7 @@
 fn carry(purpose: Purpose, service: &str, version: u64) -> Frame {
   let service = service.parse::<Service>().expect("a name");
   Frame::Carry {
-    complete: KNOWN,
+    synced: KNOWN,
     purpose,
     service: service.digest(),
     version: Version(version),
@@ -58,11 +58,11 @@
   (agent, flow)
 }
 
-fn absent(flow: Flow, complete: Revision) -> Frame {
+fn absent(flow: Flow, synced: Revision) -> Frame {
   Frame::Absent {
     flows: vec![flow],
     known: Known {
-      complete,
+      synced,
       tombstones: vec![],
     },
     lost: false,
@@ -181,7 +181,7 @@
   let service = service.parse::<Service>().expect("a name");
   let flows = flows.iter().map(|flow| (*flow, acknowledges));
   let frame = Frame::Query {
-    complete: KNOWN,
+    synced: KNOWN,
     flows: flows.collect(),
     services: vec![service.digest()],
   };
@@ -196,7 +196,7 @@
   let absent = Frame::Absent {
     flows: vec![one, other],
     known: Known {
-      complete: KNOWN,
+      synced: KNOWN,
       tombstones: vec![],
     },
     lost: false,
@@ -224,7 +224,7 @@
 /// `asker`.
 fn targets_named_to(agent: &mut Agent, asker: u64) -> Known {
   let query = Frame::Query {
-    complete: Revision(asker),
+    synced: Revision(asker),
     flows: vec![(flow(40_009, 1), 6)],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
@@ -247,8 +247,8 @@
   agent.platform(update(Some(2), 5, &records));
   let known = targets_named_to(&mut agent, 3);
   assert_eq!(known.tombstones, [(upstream(11), 0)]);
-  assert_eq!(known.complete, Revision(3));
-  assert_eq!(targets_named_to(&mut agent, 9).complete, Revision(5));
+  assert_eq!(known.synced, Revision(3));
+  assert_eq!(targets_named_to(&mut agent, 9).synced, Revision(5));
 }
 
 #[test]
@@ -259,8 +259,8 @@
     listed(host, &id, host as u8, "a", Presence::Live)
   });
   agent.platform(update(Some(2), 99, &records.collect::<Vec<_>>()));
-  assert_eq!(targets_named_to(&mut agent, 2).complete, Revision(99));
-  assert_eq!(targets_named_to(&mut agent, 90).complete, Revision(90));
+  assert_eq!(targets_named_to(&mut agent, 2).synced, Revision(99));
+  assert_eq!(targets_named_to(&mut agent, 90).synced, Revision(90));
 }
 
 #[test]
@@ -303,7 +303,7 @@
   let lost = Frame::Absent {
     flows: vec![flow],
     known: Known {
-      complete: KNOWN,
+      synced: KNOWN,
       tombstones: vec![],
     },
     lost: true,
@@ -458,7 +458,7 @@
 fn an_agent_sends_its_status_at_the_first_frame_of_a_balancer() {
   let mut agent = Stepped::agent(9, "a", false);
   let query = Frame::Query {
-    complete: KNOWN,
+    synced: KNOWN,
     flows: vec![],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
--- a/tests/datagram/amending.rs
+++ b/tests/datagram/amending.rs
@@ -66,7 +66,7 @@
     let mut other = catalog(&[first]);
     other.offer(Instant::now(), sender.since(Revision(known)));
     assert_eq!(in_force(&other), configuration(3, &third));
-    assert_eq!(other.complete(), Revision(7));
+    assert_eq!(other.synced(), Revision(7));
   }
 }
 
@@ -95,7 +95,7 @@
   let change = behind.offer(Instant::now(), sender.since(Revision(6)));
   assert!(!change.configuration);
   assert_eq!(in_force(&behind), configuration(1, &routes(10)));
-  assert_eq!(behind.complete(), Revision(5));
+  assert_eq!(behind.synced(), Revision(5));
 }
 
 #[test]
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -45,7 +45,7 @@
 pub fn feed_status(balancer: &mut Balancer, host: u8, incarnation: u32, load: Load) -> Vec<Sent> {
   let status = Frame::Status(Status {
     balancers: vec![],
-    complete: Revision(1),
+    synced: Revision(1),
     confirmed_ms: None,
     data_centre: 0,
     incarnation,
@@ -60,7 +60,7 @@
 pub fn feed_balancer_status(balancer: &mut Balancer, host: u8) -> Vec<Sent> {
   let status = Status {
     balancers: vec![],
-    complete: Revision(4),
+    synced: Revision(4),
     confirmed_ms: Some(10),
     data_centre: 0,
     incarnation: 1,
@@ -107,11 +107,11 @@
 }
 
 /// A denial of `flow(1, 1)` by an agent that knows the target list up to a revision.
-pub fn absent(complete: u64) -> Frame {
+pub fn absent(synced: u64) -> Frame {
   Frame::Absent {
     flows: vec![flow(1, 1)],
     known: Known {
-      complete: Revision(complete),
+      synced: Revision(synced),
       tombstones: vec![],
     },
     lost: false,
--- a/tests/datagram/catalog.rs
+++ b/tests/datagram/catalog.rs
@@ -14,7 +14,7 @@
   let change = catalog.offer(now, update(Some(0), 4, &[configured(4, 6, &[(1, "b")])]));
   assert!(change.is_empty());
   assert_eq!(catalog.version(), Version(7));
-  assert_eq!(catalog.complete(), Revision(5));
+  assert_eq!(catalog.synced(), Revision(5));
 }
 
 #[test]
@@ -70,7 +70,7 @@
   let now = Instant::now();
   catalog.offer(now, update(None, 5, &[]));
   catalog.offer(now, update(Some(8), 9, &[configured(9, 7, &[])]));
-  assert_eq!(catalog.complete(), Revision(5));
+  assert_eq!(catalog.synced(), Revision(5));
   assert_eq!(catalog.version(), Version(7));
 }
 
@@ -87,8 +87,8 @@
   first.offer(now, update(None, 5, &records));
   second.offer(now, first.since(Revision(0)));
   first.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
-  second.offer(now, first.since(second.complete()));
-  assert_eq!(second.complete(), Revision(6));
+  second.offer(now, first.since(second.synced()));
+  assert_eq!(second.synced(), Revision(6));
   assert_eq!(second.version(), Version(7));
   let (_, entry) = second.entries().next().expect("entry");
   assert!(entry.removed.is_some());
@@ -103,7 +103,7 @@
   // It was removed from the target list before the second process started.
   let mut second = Catalog::default();
   second.offer(now, update(None, 6, &[]));
-  first.offer(now, second.since(first.complete()));
+  first.offer(now, second.since(first.synced()));
   let (_, entry) = first.entries().next().expect("entry");
   assert!(entry.removed.is_some());
 }
@@ -117,7 +117,7 @@
   let mut second = first.clone();
   second.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
   second.expire(now + Duration::from_mins(5));
-  first.offer(now, second.since(first.complete()));
+  first.offer(now, second.since(first.synced()));
   let (_, entry) = first.entries().next().expect("entry");
   assert!(entry.removed.is_some());
 }
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -40,7 +40,7 @@
 fn flow_test(service: &str) -> Frame {
   Frame::Test {
     balancer: peer(BALANCER),
-    complete: Revision(2),
+    synced: Revision(2),
     service: digest(service),
     version: Version(1),
   }
@@ -52,7 +52,7 @@
   let packet = Packet::data(flow(1, 1), 2, 101);
   let fan = Frame::FanOut {
     agents: vec![(peer(8), digest("b")), (peer(9), digest("a"))],
-    complete: Revision(2),
+    synced: Revision(2),
     version: Version(1),
   };
   let sent = agent.frame(BALANCER, &fan, &packet.write());
@@ -84,7 +84,7 @@
     assert!(named >= 1);
     let fan = Frame::FanOut {
       agents: vec![(peer(200), Digest(u64::MAX)); named],
-      complete: Revision(u64::from(u32::MAX)),
+      synced: Revision(u64::from(u32::MAX)),
       version: Version(u64::from(u32::MAX)),
     };
     let mut bytes = Vec::new();
--- a/tests/datagram/frame.rs
+++ b/tests/datagram/frame.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_frame_and_its_packet_are_decoded() {
   let frame = Frame::Carry {
-    complete: Revision(4),
+    synced: Revision(4),
     purpose: Purpose::Test,
     service: Digest(77),
     version: Version(3),
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -20,10 +20,10 @@
   Gossip::new(now, &settings, true, 1, Tuning::default())
 }
 
-fn status(complete: u64, confirmed_ms: Option<u32>) -> Status {
+fn status(synced: u64, confirmed_ms: Option<u32>) -> Status {
   Status {
     balancers: vec![],
-    complete: Revision(complete),
+    synced: Revision(synced),
     confirmed_ms,
     data_centre: 0,
     incarnation: 1,
@@ -124,7 +124,7 @@
   let records = [configured(1, 7, &routes)];
   gossip.update(now, Origin::Platform, update(None, 1, &records), &mut out);
   let (frame, _) = Frame::decode(out.bytes(&out.datagrams()[0])).expect("frame");
-  assert!(matches!(frame, Frame::Status(status) if status.complete == Revision(1)));
+  assert!(matches!(frame, Frame::Status(status) if status.synced == Revision(1)));
 }
 
 #[test]
--- a/tests/datagram/links.rs
+++ b/tests/datagram/links.rs
@@ -31,7 +31,7 @@
 fn status(number: u32, role: Role) -> Frame {
   Frame::Status(Status {
     balancers: vec![],
-    complete: Revision(5),
+    synced: Revision(5),
     confirmed_ms: Some(10),
     data_centre: number % DATA_CENTRES,
     incarnation: 1,
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -97,7 +97,7 @@
   let absent = Frame::Absent {
     flows: vec![flow(1, 1)],
     known: Known {
-      complete: Revision(4),
+      synced: Revision(4),
       tombstones: vec![(crate::support::upstream(13), 100)],
     },
     lost: false,
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -259,7 +259,7 @@
 /// catalog is complete up to revision 2.
 pub fn carry(purpose: Purpose) -> Frame {
   Frame::Carry {
-    complete: Revision(2),
+    synced: Revision(2),
     purpose,
     service: digest("a"),
     version: Version(1),
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -309,7 +309,7 @@
   let mut balancer = balancer_with_split(90, 10);
   search(&mut balancer);
   let known = fallwell::datagram::frame::Known {
-    complete: Revision(4),
+    synced: Revision(4),
     tombstones: vec![(upstream(22), 100)],
   };
   let absent = Frame::Absent {
@@ -350,7 +350,7 @@
 fn an_agent_of_another_service_denies_a_flow() {
   let mut agent = agent();
   let query = Frame::Query {
-    complete: Revision(2),
+    synced: Revision(2),
     flows: vec![(flow(1, 1), 100)],
     services: vec![crate::support::digest("b"), crate::support::digest("c")],
   };
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -443,7 +443,7 @@
   pub fn is_up_to_date(&mut self) -> bool {
     let revision = self.latest_revision();
     let mut nodes = self.nodes.values_mut();
-    nodes.all(|node| node.machine().gossip().catalog().complete() == revision)
+    nodes.all(|node| node.machine().gossip().catalog().synced() == revision)
   }
 
   /// Advances the time.
@@ -532,14 +532,14 @@
       return;
     };
     let gossip = node.machine().gossip();
-    let (reads, complete) = (gossip.is_reader(now), gossip.catalog().complete());
+    let (reads, synced) = (gossip.is_reader(now), gossip.catalog().synced());
     if reads && answers {
-      let whole = complete == Revision(0);
+      let whole = synced == Revision(0);
       let records = self.records.values();
-      let records = records.filter(|record| record.revision() > complete);
+      let records = records.filter(|record| record.revision() > synced);
       let present = records.filter(|record| !whole || Self::is_in_snapshot(record));
       let update = Update {
-        after: (!whole).then_some(complete),
+        after: (!whole).then_some(synced),
         records: present.cloned().collect(),
         to: Revision(self.revision),
       };
