--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -157,7 +157,7 @@
     if self.gossip.is_new(from) {
       // A balancer may buffer packets until it knows that this incarnation has started.
       let load = self.load(now);
-      self.gossip.greet(now, Role::Agent(load), from, out);
+      self.gossip.send_status(now, Role::Agent(load), from, out);
     }
     match frame {
       Frame::Query {
@@ -323,7 +323,7 @@
     if now >= self.gossip.deadline() || (changed && now >= self.last_report + self.tuning.report) {
       self.last_report = now;
       self.reported_load = load;
-      self.gossip.tell_now(now, role, out);
+      self.gossip.broadcast_status(now, role, out);
     }
   }
 
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -61,7 +61,7 @@
   /// Sends a status to agents that packets are buffered for, and ends restarts that have timed out.
   pub(super) fn poll_restarts(&mut self, now: Instant, out: &mut Outbox) {
     for agent in self.restarts.take_due(now) {
-      self.gossip.greet(now, Role::Balancer, agent, out);
+      self.gossip.send_status(now, Role::Balancer, agent, out);
     }
     for agent in self.restarts.timed_out(now) {
       self.release_buffered(now, agent, out);
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -37,7 +37,7 @@
     if now < self.next {
       return;
     }
-    self.tell_now(now, role, out);
+    self.broadcast_status(now, role, out);
     let frame = Frame::Status(self.own_status(now, Role::Balancer));
     for agent in &agents.local {
       out.frame(*agent, &frame, &[]);
@@ -55,7 +55,7 @@
   /// Sends a status to the balancers now: to those of this data centre at each call, to others less
   /// often. Unless the overlay is a full mesh, only its members in other data centres are sent one;
   /// a reader sends one to all.
-  pub fn tell_now(&mut self, now: Instant, role: Role, out: &mut Outbox) {
+  pub fn broadcast_status(&mut self, now: Instant, role: Role, out: &mut Outbox) {
     self.next = now + self.tuning.status;
     let frame = Frame::Status(self.own_status(now, role));
     let tuning = self.tuning;
@@ -95,7 +95,7 @@
   }
 
   /// Sends a status to one process.
-  pub fn greet(&self, now: Instant, role: Role, to: SocketAddrV4, out: &mut Outbox) {
+  pub fn send_status(&self, now: Instant, role: Role, to: SocketAddrV4, out: &mut Outbox) {
     out.frame(to, &Frame::Status(self.own_status(now, role)), &[]);
   }
 
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -149,7 +149,7 @@
     gossip.status(now, peer(2), &local);
     gossip.status(now, peer(3), &status(0, None));
     let mut out = Outbox::default();
-    gossip.tell_now(now, Role::Balancer, &mut out);
+    gossip.broadcast_status(now, Role::Balancer, &mut out);
     for (count, host) in sent_to.iter_mut().zip([2, 3]) {
       *count += out
         .datagrams()
@@ -165,7 +165,7 @@
 fn own_data_centre() -> u32 {
   let now = Instant::now();
   let mut out = Outbox::default();
-  gossip(now, 1).tell_now(now, Role::Balancer, &mut out);
+  gossip(now, 1).broadcast_status(now, Role::Balancer, &mut out);
   let (frame, _) = Frame::decode(out.bytes(&out.datagrams()[0])).expect("frame");
   let Frame::Status(status) = frame else {
     panic!("{frame:?}");
