--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -62,7 +62,7 @@
     let is_tested = |entry: &FlowEntry| matches!(entry.state, FlowState::Tested { .. });
     let whole = now >= self.recovering_until && !self.flows.values().any(is_tested);
     let mut balancers = BTreeSet::from_iter(self.gossip.balancers(now));
-    if !self.gossip.knows_all() {
+    if !self.gossip.is_full_mesh() {
       // Balancers that exchange no heartbeats with this agent, but forward packets to it.
       balancers.extend(self.flows.values().filter_map(|entry| entry.balancer));
     }
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -242,7 +242,7 @@
     // An agent that exchanges no statuses with this balancer gets time to answer before it counts
     // as lost.
     let is_early = now.saturating_duration_since(search.started) < self.tuning.peer_timeout;
-    let may_answer = is_early && !self.gossip.knows_all();
+    let may_answer = is_early && !self.gossip.is_full_mesh();
     search.retain_pending(|agent| may_answer || !targets.is_lost(now, agent));
     self.query_rest(now, flow, out);
     let Some(search) = self.searches.get_mut(&flow) else {
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -1,10 +1,10 @@
-mod links;
+mod overlay;
 mod peer;
 mod reading;
 mod telling;
 
 use {
-  self::{links::Links, peer::Peer},
+  self::{overlay::Overlay, peer::Peer},
   super::{
     Catalog, Change, Outbox, Rate, Settings, Tuning, Update,
     event::Origin,
@@ -370,14 +370,14 @@
 
   /// Whether the overlay is a full mesh. Otherwise a process that is never heard from may still be
   /// alive.
-  pub fn knows_all(&self) -> bool {
-    self.links().are_all()
+  pub fn is_full_mesh(&self) -> bool {
+    self.overlay().is_full()
   }
 
   /// The peers in other data centres that this process exchanges statuses with.
-  fn links(&self) -> Links {
+  fn overlay(&self) -> Overlay {
     let balancers = self.peers.values().filter(|peer| peer.balancer);
-    Links::new(self.address, balancers.count())
+    Overlay::new(self.address, balancers.count())
   }
 
   /// Takes the update request that is to be sent next: the peer, and the revision after which
--- a/src/datagram/gossip/links.rs
+++ b/src/datagram/gossip/overlay.rs
@@ -7,13 +7,13 @@
 /// The overlay of pairs that exchange statuses across data centres. A full mesh would send a number
 /// of statuses that grows with the square of the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Links {
+pub struct Overlay {
   own: SocketAddrV4,
   /// The fraction of all pairs that exchange statuses, scaled to `u32::MAX`.
   share: u32,
 }
 
-impl Links {
+impl Overlay {
   /// The overlay as seen by a process that knows `balancers` other balancers.
   pub fn new(own: SocketAddrV4, balancers: usize) -> Self {
     let share = DEGREE as f64 / balancers.max(1) as f64;
@@ -24,7 +24,7 @@
   }
 
   /// Whether every pair exchanges statuses.
-  pub fn are_all(self) -> bool {
+  pub fn is_full(self) -> bool {
     self.share == u32::MAX
   }
 
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/telling.rs
@@ -46,8 +46,8 @@
       return;
     }
     self.next_remote_agents = now + self.tuning.remote_agent_status;
-    let links = self.links();
-    for agent in agents.remote.iter().filter(|agent| links.has(**agent)) {
+    let overlay = self.overlay();
+    for agent in agents.remote.iter().filter(|agent| overlay.has(**agent)) {
       out.frame(*agent, &frame, &[]);
     }
   }
@@ -59,8 +59,8 @@
     self.next = now + self.tuning.status;
     let frame = Frame::Status(self.own_status(now, role));
     let tuning = self.tuning;
-    let links = self.links();
-    let all = links.are_all() || self.is_reader(now);
+    let overlay = self.overlay();
+    let all = overlay.is_full() || self.is_reader(now);
     let balancer = self.balancer;
     for (address, peer) in &mut self.peers {
       let since = |at: Instant| now.saturating_duration_since(at);
@@ -81,7 +81,7 @@
         .last_heard
         .is_some_and(|heard| since(heard) < REPLY_FOR);
       let linked = if balancer {
-        links.has(*address)
+        overlay.has(*address)
       } else {
         recent
       };
@@ -130,7 +130,7 @@
       Frame::Status(self.own_status(now, Role::Balancer))
     };
     let mut receivers = self.peers.keys().copied().collect::<BTreeSet<_>>();
-    if !self.knows_all() {
+    if !self.is_full_mesh() {
       receivers.extend(self.listed_agents());
     }
     for address in receivers {
