--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -411,7 +411,7 @@
 
   /// Whether the upstream has answered all requests: an answer that comes after the end is lost
   /// until it is retransmitted.
-  fn is_quiet(&self) -> bool {
+  fn is_idle(&self) -> bool {
     self.work.in_flight() == 0
   }
 
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -264,7 +264,7 @@
   }
 
   /// Always false: packets arrive until the fabric routes them to other balancers.
-  fn is_quiet(&self) -> bool {
+  fn is_idle(&self) -> bool {
     false
   }
 
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -93,7 +93,7 @@
   ) -> Result<(), Code>;
 
   /// Whether no request is in flight that the end of the process would interrupt.
-  fn is_quiet(&self) -> bool;
+  fn is_idle(&self) -> bool;
 
   /// Applies an update.
   fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox);
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -151,8 +151,8 @@
       }
       self.flush();
       self.publish(now);
-      let quiet = self.machine.is_quiet();
-      self.shared.quiet.store(quiet, Ordering::Relaxed);
+      let idle = self.machine.is_idle();
+      self.shared.idle.store(idle, Ordering::Relaxed);
       logging::flush_if_due(now);
     }
   }
--- a/src/datagram/node/run.rs
+++ b/src/datagram/node/run.rs
@@ -158,7 +158,7 @@
 fn linger(linger: &Linger, shared: &Shared) {
   let end = Instant::now() + linger.max;
   thread::sleep(linger.min);
-  while !shared.quiet.load(Ordering::Relaxed) && Instant::now() < end {
+  while !shared.idle.load(Ordering::Relaxed) && Instant::now() < end {
     thread::sleep(POLL_INTERVAL);
   }
 }
--- a/src/datagram/node/shared.rs
+++ b/src/datagram/node/shared.rs
@@ -60,7 +60,7 @@
   /// Messages to the packet thread.
   pub messages: Sender<Message>,
   /// Whether no request is in flight that the end of the process would interrupt.
-  pub quiet: AtomicBool,
+  pub idle: AtomicBool,
   /// Whether a configuration is known, so that callers' packets can be handled.
   pub ready: AtomicBool,
   /// Pulls from peers.
@@ -86,7 +86,7 @@
       counter,
       messages,
       pulls,
-      quiet: AtomicBool::new(false),
+      idle: AtomicBool::new(false),
       reading: watch::Sender::default(),
       ready: AtomicBool::new(false),
       stopping: AtomicBool::new(false),
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -470,9 +470,9 @@
 fn an_agent_is_idle_once_its_upstream_has_answered() {
   let (mut agent, flow) = with_flow(true);
   agent.step(Event::Stop);
-  assert!(!agent.machine.is_quiet());
+  assert!(!agent.machine.is_idle());
   agent.packet(Packet::data(flow, 101, 12));
-  assert!(agent.machine.is_quiet());
+  assert!(agent.machine.is_idle());
 }
 
 #[test]
