--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -52,7 +52,7 @@
   load::Load,
   outbox::{Datagram, Outbox, Via},
   rate::{Rate, RateInvalid},
-  record::{Amendment, Record, Update},
+  record::{Delta, Record, Update},
   service::Service,
   settings::{Settings, Tuning, Upstream},
   target::Target,
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -221,8 +221,8 @@
       } => {
         change.configuration |= self.configure(now, configuration, revision);
       }
-      Record::Amendment {
-        amendment,
+      Record::Delta {
+        delta,
         after,
         revision,
       } => {
@@ -230,7 +230,7 @@
         if let Some((current, before)) = known.filter(|_| after <= self.synced)
           && *current < revision
         {
-          let configuration = amendment.amend(before);
+          let configuration = delta.apply(before);
           change.configuration |= self.configure(now, configuration, revision);
         }
       }
@@ -325,7 +325,7 @@
         Record::Evacuation { data_centre, .. } => {
           listed.closed.insert(data_centre.clone());
         }
-        Record::Amendment { .. } | Record::Configuration { .. } => {}
+        Record::Delta { .. } | Record::Configuration { .. } => {}
         Record::Target { id, .. } => {
           listed.targets.insert(id.clone());
         }
--- a/src/datagram/changed.rs
+++ b/src/datagram/changed.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Amendment, Configuration, Record},
+  super::{Configuration, Delta, Record},
   crate::Revision,
   std::{
     collections::{BTreeMap, BTreeSet},
@@ -42,14 +42,14 @@
     }
     let changed = self.routes.iter().filter(|(_, at)| **at > after);
     let routes = changed.map(|(address, _)| (*address, configuration.routes.get(address).cloned()));
-    let amendment = Amendment {
+    let delta = Delta {
       idle: configuration.idle,
       routes: routes.collect(),
       version: configuration.version,
       warmups: configuration.warmups.clone(),
     };
-    Record::Amendment {
-      amendment,
+    Record::Delta {
+      delta,
       after,
       revision,
     }
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -7,7 +7,7 @@
 
 /// The difference between two configurations.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Amendment {
+pub struct Delta {
   /// The idle timeout of flows.
   pub idle: Duration,
   /// The routes that changed; none for a removed one.
@@ -18,9 +18,9 @@
   pub warmups: BTreeMap<Service, Warmup>,
 }
 
-impl Amendment {
+impl Delta {
   /// The configuration that results from `before`.
-  pub fn amend(self, before: &Configuration) -> Configuration {
+  pub fn apply(self, before: &Configuration) -> Configuration {
     let mut routes = before.routes.clone();
     for (address, route) in self.routes {
       match route {
@@ -58,9 +58,9 @@
   },
   /// The configuration in force, as a difference for receivers that are complete up to `after` or
   /// later.
-  Amendment {
+  Delta {
     /// The difference.
-    amendment: Amendment,
+    delta: Delta,
     /// The revision after which all the differences were made.
     after: Revision,
     /// The platform's revision.
@@ -81,7 +81,7 @@
   /// The platform's revision.
   pub fn revision(&self) -> Revision {
     match self {
-      Self::Amendment { revision, .. }
+      Self::Delta { revision, .. }
       | Self::Evacuation { revision, .. }
       | Self::Configuration { revision, .. }
       | Self::Target { revision, .. } => *revision,
--- a/tests/datagram/amending.rs
+++ b/tests/datagram/delta.rs
@@ -46,7 +46,7 @@
   let update = sender.since(Revision(5));
   assert_matches!(
     &update.records[..],
-    [Record::Amendment { amendment, .. }] if amendment.routes.len() == 2
+    [Record::Delta { delta, .. }] if delta.routes.len() == 2
   );
   let mut other = catalog(&[(5, 1, routes(200))]);
   assert!(other.offer(Instant::now(), update).configuration);
--- a/tests/datagram/main.rs
+++ b/tests/datagram/main.rs
@@ -3,12 +3,12 @@
 
 mod agent;
 mod allowance;
-mod amending;
 mod balancer;
 mod balancing;
 mod bundle;
 mod catalog;
 mod cold;
+mod delta;
 mod evacuations;
 mod failing;
 mod fan_out;
