--- a/src/datagram.rs
+++ b/src/datagram.rs
@@ -9,7 +9,7 @@
 /// Packing of several frames into one datagram.
 pub mod bundle;
 mod catalog;
-mod changed;
+mod changelog;
 mod codec;
 mod configuration;
 mod evacuations;
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -1,7 +1,7 @@
 use {
   super::{
     Configuration, Evacuations, FormerBackends, Record, Route, Service, Target, Update, Warmup,
-    changed::Changed, target,
+    changelog::Changelog, target,
   },
   crate::Revision,
   smallvec::SmallVec,
@@ -35,7 +35,7 @@
   synced: Revision,
   /// The latest change of each route since the first configuration received here, including removed
   /// routes.
-  changed: Changed,
+  changelog: Changelog,
   configuration: Option<(Revision, Arc<Configuration>)>,
   former_backends: FormerBackends,
   /// Removals up to this revision may not be known here.
@@ -176,7 +176,7 @@
     let configuration = self.configuration.iter();
     let configuration = configuration.filter(|(revision, _)| *revision > oldest);
     let configuration =
-      configuration.map(|(revision, current)| self.changed.record(current, oldest, *revision));
+      configuration.map(|(revision, current)| self.changelog.record(current, oldest, *revision));
     let evacuations = self.evacuations.since(oldest);
     let targets = self.targets.iter();
     let targets = targets.filter(|(_, entry)| entry.revision > oldest);
@@ -251,10 +251,10 @@
         return false;
       }
       Some((_, before)) => {
-        self.changed.replace(before, &configuration, revision);
+        self.changelog.replace(before, &configuration, revision);
         self.former_backends.replace(now, before, &configuration);
       }
-      None => self.changed.begin(revision),
+      None => self.changelog.begin(revision),
     }
     self.configuration = Some((revision, Arc::new(configuration)));
     true
--- a/src/datagram/changed.rs
+++ b/src/datagram/changelog.rs
@@ -14,13 +14,13 @@
 /// The revision of each route's latest change, so that a change of a few among thousands of routes
 /// is sent as a small difference: a configuration of 1,600 routes takes 60 KB per receiver.
 #[derive(Clone, Debug, Default)]
-pub struct Changed {
+pub struct Changelog {
   /// Changes up to this revision may not be known here.
   from: Revision,
   routes: BTreeMap<SocketAddrV4, Revision>,
 }
 
-impl Changed {
+impl Changelog {
   /// Starts with the first configuration, as of a revision.
   pub fn begin(&mut self, revision: Revision) {
     self.from = revision;
