--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -114,7 +114,7 @@
 
   /// Applies an update and returns what it changed; records that are older than the known ones are
   /// ignored.
-  pub fn offer(&mut self, now: Instant, update: Update) -> Change {
+  pub fn apply_update(&mut self, now: Instant, update: Update) -> Change {
     let mut change = Change::default();
     // A snapshot that is older than the catalog would remove targets that were added since.
     let snapshot = update.after.is_none() && update.to >= self.synced;
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -221,7 +221,7 @@
     // The change happened since the platform was last heard from.
     let age = self.confirmed(now);
     let missing = update.after.is_some_and(|from| from > after);
-    let change = self.catalog.offer(now, update);
+    let change = self.catalog.apply_update(now, update);
     if origin == Origin::Platform {
       self.confirmed = Some(now);
       // Peers start reading the platform themselves if the reader's status stays away.
--- a/tests/datagram/catalog.rs
+++ b/tests/datagram/catalog.rs
@@ -10,8 +10,8 @@
 fn an_older_configuration_is_ignored() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
-  catalog.offer(now, update(None, 5, &[configured(5, 7, &[(1, "a")])]));
-  let change = catalog.offer(now, update(Some(0), 4, &[configured(4, 6, &[(1, "b")])]));
+  catalog.apply_update(now, update(None, 5, &[configured(5, 7, &[(1, "a")])]));
+  let change = catalog.apply_update(now, update(Some(0), 4, &[configured(4, 6, &[(1, "b")])]));
   assert!(change.is_empty());
   assert_eq!(catalog.version(), Version(7));
   assert_eq!(catalog.synced(), Revision(5));
@@ -22,8 +22,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, update(None, 3, &[]));
+  catalog.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.apply_update(now, update(None, 3, &[]));
   let (_, entry) = catalog.entries().next().expect("entry");
   assert_eq!(entry.removed, None);
 }
@@ -33,8 +33,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, update(None, 8, &[listed(7, "two", 2, "a", live)]));
+  catalog.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.apply_update(now, update(None, 8, &[listed(7, "two", 2, "a", live)]));
   let removed = catalog.entries().map(|(_, entry)| entry.removed.is_some());
   assert_eq!(removed.collect::<Vec<_>>(), [true, false]);
 }
@@ -44,8 +44,8 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
+  catalog.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.apply_update(now, update(Some(5), 6, &[unlisted(6, "one")]));
   catalog.expire(now + Duration::from_mins(1));
   assert_eq!(catalog.entries().count(), 1);
   catalog.expire(now + Duration::from_mins(2));
@@ -57,9 +57,9 @@
   let mut catalog = Catalog::default();
   let now = Instant::now();
   let live = Presence::Live;
-  catalog.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
-  catalog.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
-  catalog.offer(now, update(Some(6), 7, &[listed(7, "one", 1, "a", live)]));
+  catalog.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  catalog.apply_update(now, update(Some(5), 6, &[unlisted(6, "one")]));
+  catalog.apply_update(now, update(Some(6), 7, &[listed(7, "one", 1, "a", live)]));
   let (_, entry) = catalog.entries().next().expect("entry");
   assert_eq!(entry.removed, None);
 }
@@ -68,8 +68,8 @@
 fn an_update_after_a_gap_does_not_count_as_complete() {
   let mut catalog = Catalog::default();
   let now = Instant::now();
-  catalog.offer(now, update(None, 5, &[]));
-  catalog.offer(now, update(Some(8), 9, &[configured(9, 7, &[])]));
+  catalog.apply_update(now, update(None, 5, &[]));
+  catalog.apply_update(now, update(Some(8), 9, &[configured(9, 7, &[])]));
   assert_eq!(catalog.synced(), Revision(5));
   assert_eq!(catalog.version(), Version(7));
 }
@@ -84,10 +84,10 @@
     listed(3, "one", 1, "a", live),
     configured(4, 7, &[(1, "a")]),
   ];
-  first.offer(now, update(None, 5, &records));
-  second.offer(now, first.since(Revision(0)));
-  first.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
-  second.offer(now, first.since(second.synced()));
+  first.apply_update(now, update(None, 5, &records));
+  second.apply_update(now, first.since(Revision(0)));
+  first.apply_update(now, update(Some(5), 6, &[unlisted(6, "one")]));
+  second.apply_update(now, first.since(second.synced()));
   assert_eq!(second.synced(), Revision(6));
   assert_eq!(second.version(), Version(7));
   let (_, entry) = second.entries().next().expect("entry");
@@ -99,11 +99,11 @@
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
-  first.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  first.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   // It was removed from the target list before the second process started.
   let mut second = Catalog::default();
-  second.offer(now, update(None, 6, &[]));
-  first.offer(now, second.since(first.synced()));
+  second.apply_update(now, update(None, 6, &[]));
+  first.apply_update(now, second.since(first.synced()));
   let (_, entry) = first.entries().next().expect("entry");
   assert!(entry.removed.is_some());
 }
@@ -113,11 +113,11 @@
   let now = Instant::now();
   let live = Presence::Live;
   let mut first = Catalog::default();
-  first.offer(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
+  first.apply_update(now, update(None, 5, &[listed(5, "one", 1, "a", live)]));
   let mut second = first.clone();
-  second.offer(now, update(Some(5), 6, &[unlisted(6, "one")]));
+  second.apply_update(now, update(Some(5), 6, &[unlisted(6, "one")]));
   second.expire(now + Duration::from_mins(5));
-  first.offer(now, second.since(first.synced()));
+  first.apply_update(now, second.since(first.synced()));
   let (_, entry) = first.entries().next().expect("entry");
   assert!(entry.removed.is_some());
 }
--- a/tests/datagram/evacuations.rs
+++ b/tests/datagram/evacuations.rs
@@ -32,7 +32,7 @@
 }
 
 fn apply(catalog: &mut Catalog, update: Update) -> bool {
-  catalog.offer(Instant::now(), update).evacuations
+  catalog.apply_update(Instant::now(), update).evacuations
 }
 
 #[test]
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -36,7 +36,7 @@
 fn a_late_record_of_a_previous_incarnation_changes_nothing() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
+  catalog.apply_update(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
   let mut late = incarnation(3, "up", 9, 100);
   if let Record::Target {
     target: Some(target),
@@ -45,7 +45,7 @@
   {
     target.presence = Presence::Leaving;
   }
-  let change = catalog.offer(now, update(Some(2), 3, &[late]));
+  let change = catalog.apply_update(now, update(Some(2), 3, &[late]));
   assert!(change.is_empty(), "{change:?}");
   let (_, entry) = catalog.at(upstream(9)).expect("listed");
   assert_eq!(entry.target.presence, Presence::Live);
@@ -55,9 +55,9 @@
 fn a_record_without_a_start_time_is_applied() {
   let now = Instant::now();
   let mut catalog = Catalog::default();
-  catalog.offer(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
+  catalog.apply_update(now, update(None, 2, &[incarnation(2, "up", 9, 200)]));
   let record = listed(3, "up", 9, "a", Presence::Leaving);
-  let change = catalog.offer(now, update(Some(2), 3, &[record]));
+  let change = catalog.apply_update(now, update(Some(2), 3, &[record]));
   assert_eq!(change.targets.len(), 1);
 }
 
