--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -205,7 +205,7 @@
         Ok(())
       }
       Frame::Status(status) => {
-        self.gossip.status(now, from, &status);
+        self.gossip.handle_status(now, from, &status);
         Ok(())
       }
       _ => Err(Code::FrameWrongTarget),
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -73,7 +73,7 @@
     status: &Status,
     out: &mut Outbox,
   ) {
-    self.gossip.status(now, from, status);
+    self.gossip.handle_status(now, from, status);
     let Role::Agent(load) = status.role else {
       self.request_history(now, from, out);
       return;
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -273,7 +273,7 @@
   }
 
   /// Handles the status of another process.
-  pub fn status(&mut self, now: Instant, from: SocketAddrV4, status: &Status) {
+  pub fn handle_status(&mut self, now: Instant, from: SocketAddrV4, status: &Status) {
     let balancer = status.role == Role::Balancer;
     self.note_heard(now, from, balancer);
     for other in &status.balancers {
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -38,7 +38,7 @@
   let reads = |host: &u8| {
     let mut gossip = gossip(now, *host);
     for other in (1..=3).filter(|other| other != host) {
-      gossip.status(now, peer(other), &status(0, Some(confirmed_ms)));
+      gossip.handle_status(now, peer(other), &status(0, Some(confirmed_ms)));
     }
     gossip.is_reader(now)
   };
@@ -78,13 +78,13 @@
 fn an_update_is_requested_from_one_peer_at_a_time() {
   let now = Instant::now();
   let mut gossip = gossip(now, 1);
-  gossip.status(now, peer(2), &status(9, None));
-  gossip.status(now, peer(3), &status(9, None));
+  gossip.handle_status(now, peer(2), &status(9, None));
+  gossip.handle_status(now, peer(3), &status(9, None));
   assert_eq!(gossip.take_wanted(), Some((peer(2), Revision(0))));
   assert_eq!(gossip.take_wanted(), None);
   // It doesn't answer, so the next one is asked.
   gossip.cancel_pull(peer(2));
-  gossip.status(now, peer(3), &status(9, None));
+  gossip.handle_status(now, peer(3), &status(9, None));
   assert_eq!(gossip.take_wanted(), Some((peer(3), Revision(0))));
 }
 
@@ -92,7 +92,7 @@
 fn a_status_of_a_peer_that_is_ahead_does_not_confirm_the_catalog() {
   let now = Instant::now() + Duration::from_mins(1);
   let mut gossip = gossip(now, 1);
-  gossip.status(now, peer(2), &status(9, Some(10)));
+  gossip.handle_status(now, peer(2), &status(9, Some(10)));
   assert_eq!(gossip.confirmed(now), None);
 }
 
@@ -146,8 +146,8 @@
   let mut sent_to = [0, 0];
   for step in 0..20 {
     let now = now + Duration::from_millis(100 * step);
-    gossip.status(now, peer(2), &local);
-    gossip.status(now, peer(3), &status(0, None));
+    gossip.handle_status(now, peer(2), &local);
+    gossip.handle_status(now, peer(3), &status(0, None));
     let mut out = Outbox::default();
     gossip.broadcast_status(now, Role::Balancer, &mut out);
     for (count, host) in sent_to.iter_mut().zip([2, 3]) {
