--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -20,7 +20,7 @@
     if self.history.is_known() || self.denied.is_empty() {
       return;
     }
-    for balancer in self.gossip.present(now).collect::<Vec<_>>() {
+    for balancer in self.gossip.maybe_alive(now).collect::<Vec<_>>() {
       self.request_history(now, balancer, out);
     }
   }
@@ -62,7 +62,7 @@
   }
 
   pub(super) fn is_history_complete(&self, now: Instant) -> bool {
-    self.history.is_complete(now, self.gossip.present(now))
+    self.history.is_complete(now, self.gossip.maybe_alive(now))
   }
 
   /// Continues the searches for flows that all queried agents have denied, once the history is
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -145,7 +145,7 @@
 
   /// The balancers that may be alive: heard from within the peer timeout, or known for less than
   /// that and not heard from yet.
-  pub fn present(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
+  pub fn maybe_alive(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
     let timeout = self.tuning.peer_timeout;
     let present = move |peer: &Peer| {
       let last = peer.last_heard.unwrap_or(peer.since);
