--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -102,7 +102,7 @@
     }
     cost += failure_cost_ms(target, medians);
     if target.data_centre != self.data_centre {
-      let (per_request, per_kilobyte) = self.tuning.crossing;
+      let (per_request, per_kilobyte) = (self.tuning.crossing_ms, self.tuning.crossing_ms_per_kb);
       cost += per_request + per_kilobyte * f64::from(target.load.bytes) / 1024.0;
     }
     let work = f64::from(target.load.work) + f64::from(target.pending);
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -95,9 +95,10 @@
   /// The longest life of a flow, hence how long after its start an agent may get packets of flows
   /// that it doesn't know.
   pub flow_lifetime: Duration,
-  /// The price of placing a flow in another data centre, as milliseconds of waiting: per flow, and
-  /// per kilobyte of a request and its answer.
-  pub crossing: (f64, f64),
+  /// The price of placing a flow in another data centre, in milliseconds of waiting.
+  pub crossing_ms: f64,
+  /// The further price for each kilobyte of a request and its answer, in milliseconds of waiting.
+  pub crossing_ms_per_kb: f64,
   /// How long an opened flow counts as a request in flight before its first request arrives: the
   /// minimum, and the value before any has been observed.
   pub expected: (Duration, Duration),
@@ -147,7 +148,8 @@
   fn default() -> Self {
     Self {
       flow_lifetime: Duration::from_mins(1),
-      crossing: (30.0, 12.0),
+      crossing_ms: 30.0,
+      crossing_ms_per_kb: 12.0,
       dead: Duration::from_secs(3),
       expected: (Duration::from_millis(20), Duration::from_millis(300)),
       remote_status: Duration::from_millis(700),
