--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -121,7 +121,7 @@
       cold: Cold::new(now, settings.first_start),
       counter,
       data_centre: settings.data_centre.clone(),
-      first_request_timeout: Timeout::new(tuning.expected.0, tuning.expected.1),
+      first_request_timeout: Timeout::new(tuning.arrival_min, tuning.arrival_initial),
       flows: HashMap::new(),
       grants: Grants::default(),
       handover: Handover::default(),
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -99,9 +99,11 @@
   pub crossing_ms: f64,
   /// The further price for each kilobyte of a request and its answer, in milliseconds of waiting.
   pub crossing_ms_per_kb: f64,
-  /// How long an opened flow counts as a request in flight before its first request arrives: the
-  /// minimum, and the value before any has been observed.
-  pub expected: (Duration, Duration),
+  /// How long an opened flow counts as a request in flight before its first request arrives, at
+  /// least.
+  pub arrival_min: Duration,
+  /// The same before any arrival has been observed.
+  pub arrival_initial: Duration,
   /// How long a reset flow is remembered.
   pub dead: Duration,
   /// The interval of statuses to balancers of other data centres, where traffic is paid for;
@@ -151,7 +153,8 @@
       crossing_ms: 30.0,
       crossing_ms_per_kb: 12.0,
       dead: Duration::from_secs(3),
-      expected: (Duration::from_millis(20), Duration::from_millis(300)),
+      arrival_min: Duration::from_millis(20),
+      arrival_initial: Duration::from_millis(300),
       remote_status: Duration::from_millis(700),
       remote_agent_status: Duration::from_secs(2),
       flows_max: 200_000,
