--- a/src/datagram/backends.rs
+++ b/src/datagram/backends.rs
@@ -51,7 +51,7 @@
   /// hashing. All balancers compute the same order without communication, and a change of weights
   /// moves as few flows as possible.
   pub fn ranked(&self, flow: &Flow) -> SmallVec<[&Backend; 4]> {
-    let mut ranked = self.taking().collect::<SmallVec<[&Backend; 4]>>();
+    let mut ranked = self.weighted().collect::<SmallVec<[&Backend; 4]>>();
     if ranked.len() > 1 {
       let key = flow.key();
       ranked.sort_by(|one, other| one.score(key).total_cmp(&other.score(key)));
@@ -65,19 +65,19 @@
   }
 
   /// The backends of a positive weight, which get new flows.
-  pub fn taking(&self) -> impl Iterator<Item = &Backend> {
+  pub fn weighted(&self) -> impl Iterator<Item = &Backend> {
     self.0.iter().filter(|backend| backend.weight.0 > 0)
   }
 
   /// Whether a service gets new flows.
   pub fn takes(&self, service: &Service) -> bool {
-    self.taking().any(|backend| backend.service == *service)
+    self.weighted().any(|backend| backend.service == *service)
   }
 
   /// Whether the service with a digest gets new flows.
   pub fn takes_digest(&self, service: Digest) -> bool {
     self
-      .taking()
+      .weighted()
       .any(|backend| backend.service.digest() == service)
   }
 
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -125,7 +125,7 @@
       .into_iter()
       .flat_map(|configuration| configuration.routes.values())
     {
-      for backend in route.backends.taking() {
+      for backend in route.backends.weighted() {
         let lowest = self
           .lowest_priorities
           .entry(backend.service.clone())
