--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -24,7 +24,7 @@
     let handover = self.handovers.remove(&agent);
     log::info!(
       agent:% = agent, flows = known.len(),
-      handover_complete = handover.as_ref().is_some_and(|handover| handover.is_whole_at(now));
+      handover_complete = handover.as_ref().is_some_and(|handover| handover.is_complete_at(now));
       "balancer: agent has restarted."
     );
     for part in known.chunks(FLOWS_PER_FRAME) {
--- a/src/datagram/handover.rs
+++ b/src/datagram/handover.rs
@@ -86,14 +86,14 @@
   }
 
   /// Whether all parts have arrived, recently enough that they are of the previous incarnation.
-  pub fn is_whole_at(&self, now: Instant) -> bool {
+  pub fn is_complete_at(&self, now: Instant) -> bool {
     self.is_complete() && self.age(now) < COMPLETE_FOR
   }
 
   /// Sends the flows that are known to a process, marked as the whole table if `whole` is set and
   /// they are.
   pub fn send(&self, now: Instant, whole: bool, to: SocketAddrV4, out: &mut Outbox) {
-    let whole = whole && self.is_whole_at(now);
+    let whole = whole && self.is_complete_at(now);
     for (part, flows) in &self.parts {
       let frame = Frame::Handover {
         flows: flows.clone(),
