--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -5,7 +5,7 @@
   crate::{
     plain::{Kind, Packet, Plain},
     support::{
-      Sent, Stepped, agent_of, configured, flow, found, listed, peer, unlisted, unsure, update,
+      Harness, Sent, agent_of, configured, flow, found, listed, peer, unlisted, unsure, update,
       upstream,
     },
   },
@@ -21,7 +21,7 @@
   std::time::Duration,
 };
 
-type Agent = Stepped<agent::Machine<Plain>>;
+type Agent = Harness<agent::Machine<Plain>>;
 
 const BALANCER: u8 = 1;
 
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_upstreams_answer_opens_the_flow_and_goes_to_the_caller() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::answer(flow, 100));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_flow_that_another_target_opened_is_absent() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_packet_of_another_service_never_reaches_the_upstream() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   for purpose in [Purpose::Deliver, Purpose::Open, Purpose::Test] {
     for packet in [
       Packet::open(flow(40_001, 1), 0),
@@ -162,7 +162,7 @@
 
 #[test]
 fn an_agent_that_has_just_started_tests_a_flow_before_it_reports_absent() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let packet = Packet::data(flow, 5, 6);
   let sent = deliver(&mut agent, Purpose::Test, packet);
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_flow_whose_answer_was_acknowledged_is_found_before_its_first_packet() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -265,7 +265,7 @@
 
 #[test]
 fn an_agent_that_has_just_started_is_unsure_until_a_test_has_ended() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let sent = query(&mut agent, &[flow], 6, "a");
   assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_flow_whose_test_packet_is_not_bounced_is_found() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
   let sent = agent.pass(Duration::from_millis(100));
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_flow_whose_opening_packet_is_bounced_is_refused() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::open(flow, 0).returned());
@@ -347,7 +347,7 @@
   });
   let parts = parts.collect::<Vec<_>>();
   assert!(!parts.is_empty());
-  let mut next = Stepped::agent(9, "a", false);
+  let mut next = Harness::agent(9, "a", false);
   for part in &parts {
     next.frame(BALANCER, part, &[]);
   }
@@ -394,7 +394,7 @@
   let (mut before, flow) = with_flow(true);
   before.step(Event::Stop);
   let final_frames = before.step(Event::End);
-  let mut next = Stepped::agent(9, "a", false);
+  let mut next = Harness::agent(9, "a", false);
   deliver(&mut next, Purpose::Open, Packet::open(flow, 1));
   for sent in final_frames {
     if let Sent::Frame(_, frame @ Frame::Handover { .. }, _) = sent {
@@ -456,7 +456,7 @@
 
 #[test]
 fn an_agent_sends_its_status_at_the_first_frame_of_a_balancer() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let query = Frame::Query {
     synced: KNOWN,
     flows: vec![],
@@ -543,7 +543,7 @@
 
 #[test]
 fn a_flow_without_a_request_counts_as_work_for_a_limited_time() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let opened = agent.now;
   deliver(&mut agent, Purpose::Open, Packet::open(flow(40_001, 1), 0));
   agent.packet(Packet::answer(flow(40_001, 1), 100));
@@ -559,7 +559,7 @@
 #[test]
 fn the_service_time_is_not_measured_before_the_slots_are_known() {
   // Without the target list, three concurrent requests take 60 ms.
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flows = [1, 2, 3].map(|port| flow(port, 1));
   for flow in flows {
     deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
@@ -626,7 +626,7 @@
 
 #[test]
 fn a_flow_that_fails_a_test_while_it_opens_no_longer_counts_as_work() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -671,7 +671,7 @@
 
 #[test]
 fn an_upstream_that_resets_all_requests_is_tried_with_one_flow_at_a_time() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=3 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     agent.packet(reset(flow(port, 1)));
@@ -694,7 +694,7 @@
 
 #[test]
 fn an_upstream_that_answers_between_resets_stays_in_use() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=20 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     let last = if port % 3 == 0 {
@@ -708,7 +708,7 @@
 
 #[test]
 fn an_upstream_that_never_answers_its_trial_is_tried_again() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=3 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     agent.packet(reset(flow(port, 1)));
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     plain::{Kind, Packet, Plain},
-    support::{Sent, Stepped, configured, flow, listed, update},
+    support::{Harness, Sent, configured, flow, listed, update},
   },
   fallwell::{
     Revision,
@@ -17,7 +17,7 @@
 };
 
 /// A balancer whose clock and input the test controls.
-pub type Balancer = Stepped<balancer::Machine<Plain>>;
+pub type Balancer = Harness<balancer::Machine<Plain>>;
 
 /// A balancer with two targets of service `a` and one of service `b`.
 pub fn balancer() -> Balancer {
@@ -26,7 +26,7 @@
 
 /// The same, on an instance with a link of this rate.
 pub fn balancer_with(link: Option<Rate>) -> Balancer {
-  let mut balancer = Stepped::balancer(1, link);
+  let mut balancer = Harness::balancer(1, link);
   let live = Presence::Live;
   let records = [
     configured(1, 1, &[(1, "a"), (2, "b")]),
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -5,7 +5,7 @@
     balancing::{Balancer, balancer, carried, feed_status, is_reset},
     plain::Packet,
     support::{
-      Agent, Sent, Stepped, carry, configured_cold, digest, evacuation, flow, peer, update, warming,
+      Agent, Harness, Sent, carry, configured_cold, digest, evacuation, flow, peer, update, warming,
     },
   },
   assert_matches::assert_matches,
@@ -31,7 +31,7 @@
 
 /// An agent whose upstream warms up for `left` more.
 fn agent(first_start: bool, left: Duration) -> Agent {
-  let mut agent = Stepped::agent(9, "a", first_start);
+  let mut agent = Harness::agent(9, "a", first_start);
   let records = [configured(), warming(2, "up", 9, "a", left)];
   agent.platform(update(None, 2, &records));
   agent
@@ -141,7 +141,7 @@
 
 #[test]
 fn an_agent_without_a_configuration_limits_flows() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let (_, most) = open_flows(&mut agent, Duration::from_secs(1));
   assert_matches!(most, 1..PER_SECOND);
 }
--- a/tests/datagram/evacuations.rs
+++ b/tests/datagram/evacuations.rs
@@ -5,7 +5,7 @@
     balancing::{Balancer, balancer, busy, carried, feed_status, is_reset},
     plain::Packet,
     support::{
-      Agent, Sent, Stepped, agent, carry, configured, digest, elsewhere, evacuation, flow, listed,
+      Agent, Harness, Sent, agent, carry, configured, digest, elsewhere, evacuation, flow, listed,
       peer, update,
     },
   },
@@ -185,7 +185,7 @@
 /// A balancer that stops placing flows in an evacuated data centre after 1 s, with a target there
 /// and one elsewhere. When the data centre is closed, the platform's previous update is `age` old.
 fn closing(age: Duration) -> Balancer {
-  let mut balancer = Stepped::closing(1, Duration::from_secs(2));
+  let mut balancer = Harness::closing(1, Duration::from_secs(2));
   let records = [
     configured(1, 1, &[(1, "a")]),
     listed(2, "up-11", 11, "a", Presence::Live),
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -4,7 +4,7 @@
 use {
   crate::{
     plain::{Kind, Packet},
-    support::{Agent, Sent, Stepped, agent, agent_of, carry, digest, flow, peer},
+    support::{Agent, Harness, Sent, agent, agent_of, carry, digest, flow, peer},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_packet_of_another_service_is_not_tested() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let packet = Packet::data(flow(1, 1), 2, 101);
   let sent = agent.frame(8, &flow_test("b"), &packet.write());
   assert!(!sent.contains(&Sent::Upstream(packet)), "{sent:?}");
--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_stopping_balancer_does_not_read() {
-  let mut balancer = crate::support::Stepped::balancer(1, None);
+  let mut balancer = crate::support::Harness::balancer(1, None);
   balancer.step(Event::Stop);
   let now = balancer.now;
   assert!(!balancer.machine.gossip().is_reader(now));
--- a/tests/datagram/overlay.rs
+++ b/tests/datagram/overlay.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     balancing::{absent, feed_status as tell_load, is_reset, search},
-    support::{Stepped, flow, listed, settings, unlisted, update},
+    support::{Harness, flow, listed, settings, unlisted, update},
   },
   fallwell::{
     Revision,
@@ -119,7 +119,7 @@
 
 #[test]
 fn updates_reach_agents_outside_the_overlay() {
-  let mut balancer = Stepped::balancer(1, None);
+  let mut balancer = Harness::balancer(1, None);
   for number in 1..=100 {
     let frame = status(number, Role::Balancer);
     let mut bytes = Vec::new();
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -6,7 +6,7 @@
     balancing::{Balancer, absent, balancer, carried, feed_status, is_reset, queried, search},
     plain::Packet,
     support::{
-      Sent, Stepped, configured, elsewhere, flow, found, listed, peer, unlisted, unsure, update,
+      Harness, Sent, configured, elsewhere, flow, found, listed, peer, unlisted, unsure, update,
     },
   },
   assert_matches::assert_matches,
@@ -292,7 +292,7 @@
 
 #[test]
 fn a_flow_without_known_targets_is_not_reset() {
-  let mut balancer = Stepped::balancer(1, None);
+  let mut balancer = Harness::balancer(1, None);
   balancer.platform(update(None, 1, &[configured(1, 1, &[(1, "a")])]));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_eq!(sent, []);
--- a/tests/datagram/sharing.rs
+++ b/tests/datagram/sharing.rs
@@ -4,7 +4,7 @@
   crate::{
     balancing::{Balancer, carried, feed_status},
     plain::Packet,
-    support::{Stepped, configured, flow, listed, update},
+    support::{Harness, configured, flow, listed, update},
   },
   fallwell::{config::Presence, datagram::Load},
   std::{collections::BTreeMap, ops::Range},
@@ -20,7 +20,7 @@
 
 /// A balancer with targets of service `a` on these hosts that report these loads.
 fn balancer_with_targets(hosts: Range<u8>, load: impl Fn(u8) -> Load) -> Balancer {
-  let mut balancer = Stepped::balancer(1, None);
+  let mut balancer = Harness::balancer(1, None);
   let listed = hosts.clone().map(|host| {
     let id = format!("up-{host}");
     listed(u64::from(host) + 2, &id, host, "a", Presence::Live)
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -215,7 +215,7 @@
 }
 
 /// An agent in a test harness.
-pub type Agent = Stepped<agent::Machine<Plain>>;
+pub type Agent = Harness<agent::Machine<Plain>>;
 
 /// An agent of service `a` whose upstream has 4 slots and no requests; its catalog is complete up
 /// to revision 2.
@@ -225,7 +225,7 @@
 
 /// The same; with `first_start` no older flows can exist.
 pub fn agent_of(first_start: bool) -> Agent {
-  let mut agent = Stepped::agent(9, "a", first_start);
+  let mut agent = Harness::agent(9, "a", first_start);
   let records = [
     configured(1, 1, &[(1, "a")]),
     listed(2, "up", 9, "a", Presence::Live),
@@ -278,7 +278,7 @@
 }
 
 /// A machine whose events and time the test controls.
-pub struct Stepped<M> {
+pub struct Harness<M> {
   /// The machine.
   pub machine: M,
   /// The simulated time.
@@ -286,7 +286,7 @@
   out: Outbox,
 }
 
-impl Stepped<balancer::Machine<Plain>> {
+impl Harness<balancer::Machine<Plain>> {
   /// A balancer that has just started, on an instance whose link has the rate `link`.
   pub fn balancer(host: u8, link: Option<Rate>) -> Self {
     let now = Instant::now();
@@ -313,7 +313,7 @@
   }
 }
 
-impl Stepped<agent::Machine<Plain>> {
+impl Harness<agent::Machine<Plain>> {
   /// An agent of an upstream of `service`; with `first_start` no older flows can exist.
   pub fn agent(host: u8, service: &str, first_start: bool) -> Self {
     let now = Instant::now();
@@ -333,7 +333,7 @@
   }
 }
 
-impl<M: Machine> Stepped<M> {
+impl<M: Machine> Harness<M> {
   fn new(machine: M, now: Instant) -> Self {
     Self {
       machine,
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -6,7 +6,7 @@
       Balancer, balancer, busy, carried, feed_status, is_reset, search, without_backlog,
     },
     plain::Packet,
-    support::{Sent, Stepped, configured, configured_first, elsewhere, flow, listed, update},
+    support::{Harness, Sent, configured, configured_first, elsewhere, flow, listed, update},
   },
   assert_matches::assert_matches,
   fallwell::{
@@ -219,7 +219,7 @@
 
 #[test]
 fn a_slow_start_is_not_a_stall() {
-  let mut balancer = Stepped::balancer(1, None);
+  let mut balancer = Harness::balancer(1, None);
   balancer.now += Duration::from_millis(400);
   let live = Presence::Live;
   let records = [
