--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -221,7 +221,7 @@
       let removed = now.checked_sub(Duration::from_millis((*age_ms).into()));
       agents.push(agent);
       self.unlisted.remove(&agent);
-      let tombstones = RemovedTarget {
+      let tombstone = RemovedTarget {
         removed: removed.unwrap_or(now),
         last_heard: None,
         learnt: now,
@@ -365,10 +365,10 @@
   /// Discards reported targets that were removed from the target list longer ago than a flow lives,
   /// and unlisted agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
-    let (life, silent) = (self.tuning.flow_lifetime, self.tuning.peer_timeout);
+    let (life, peer_timeout) = (self.tuning.flow_lifetime, self.tuning.peer_timeout);
     self
       .unlisted
-      .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
+      .retain(|_, heard| now.saturating_duration_since(*heard) < peer_timeout);
     self
       .tombstones
       .retain(|_, tombstone| now.saturating_duration_since(tombstone.removed) < life);
