--- a/src/datagram/balancer/queries.rs
+++ b/src/datagram/balancer/queries.rs
@@ -70,7 +70,7 @@
     (!self.pending.is_empty()).then_some(self.next_send)
   }
 
-  /// Sends all queries if the rate allows; `complete` is the revision up to which this balancer
+  /// Sends all queries if the rate allows; `synced` is the revision up to which this balancer
   /// knows the target list.
   pub fn send(&mut self, now: Instant, synced: Revision, out: &mut Outbox) {
     if self.deadline().is_none_or(|deadline| deadline > now) {
