--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -36,7 +36,7 @@
       let entry = self.flows.entry(record.flow).or_insert_with(fresh);
       entry.restore(record);
     }
-    if now < self.recovering_until && self.handover.take(now, part, parts, flows) {
+    if now < self.recovering_until && self.handover.add_part(now, part, parts, flows) {
       log::info!(
         from:% = from, flows = self.flows.len();
         "agent: received all flows of the previous incarnation."
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -40,7 +40,7 @@
       Frame::Grant(load) => self.accept_grant(now, from, load, out),
       Frame::Handover { flows, part, parts } => {
         let handover = self.handovers.entry(from).or_default();
-        handover.take(now, part, parts, flows);
+        handover.add_part(now, part, parts, flows);
         self.restarts.begin(now, from);
       }
       Frame::History {
--- a/src/datagram/handover.rs
+++ b/src/datagram/handover.rs
@@ -65,7 +65,7 @@
   }
 
   /// Adds a part; true once all have arrived.
-  pub fn take(&mut self, now: Instant, part: u16, total: u16, flows: Vec<FlowRecord>) -> bool {
+  pub fn add_part(&mut self, now: Instant, part: u16, total: u16, flows: Vec<FlowRecord>) -> bool {
     if total == 0 || total > PARTS_MAX || part >= total {
       return false;
     }
@@ -90,8 +90,8 @@
     self.is_complete() && self.age(now) < COMPLETE_FOR
   }
 
-  /// Sends the flows that are known to a process, marked as the whole table if `whole` is set and
-  /// they are.
+  /// Sends a process the parts that are here, marked as the whole table if `whole` is set and all
+  /// parts are here.
   pub fn send(&self, now: Instant, whole: bool, to: SocketAddrV4, out: &mut Outbox) {
     let whole = whole && self.is_complete_at(now);
     for (part, flows) in &self.parts {
