--- a/src/datagram/evacuations.rs
+++ b/src/datagram/evacuations.rs
@@ -10,7 +10,7 @@
 pub struct Evacuations {
   /// The latest record of each data centre that was ever closed; kept after it reopens, so that an
   /// older record can't close it again.
-  evacuations: BTreeMap<String, Evacuation>,
+  by_data_centre: BTreeMap<String, Evacuation>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
 impl Evacuations {
   /// The names of the closed data centres.
   pub fn closed(&self) -> impl Iterator<Item = &str> {
-    let closed = self.evacuations.iter();
+    let closed = self.by_data_centre.iter();
     let closed = closed.filter(|(_, evacuation)| evacuation.closed);
     closed.map(|(data_centre, _)| data_centre.as_str())
   }
@@ -31,7 +31,7 @@
   /// there was any.
   pub fn drop_unlisted(&mut self, to: Revision, listed: &BTreeSet<String>) -> bool {
     let mut dropped = false;
-    for (data_centre, evacuation) in &mut self.evacuations {
+    for (data_centre, evacuation) in &mut self.by_data_centre {
       if evacuation.closed && evacuation.revision < to && !listed.contains(data_centre) {
         *evacuation = Evacuation {
           closed: false,
@@ -45,20 +45,20 @@
 
   /// Whether a data centre is closed.
   pub fn is_closed(&self, data_centre: &str) -> bool {
-    let evacuation = self.evacuations.get(data_centre);
+    let evacuation = self.by_data_centre.get(data_centre);
     evacuation.is_some_and(|evacuation| evacuation.closed)
   }
 
   /// The revision at which a data centre was opened again; none while it is closed, or if it never
   /// was.
   pub fn opened(&self, data_centre: &str) -> Option<Revision> {
-    let evacuation = self.evacuations.get(data_centre)?;
+    let evacuation = self.by_data_centre.get(data_centre)?;
     (!evacuation.closed).then_some(evacuation.revision)
   }
 
   /// The records after a revision.
   pub fn since(&self, after: Revision) -> impl Iterator<Item = Record> {
-    let evacuations = self.evacuations.iter();
+    let evacuations = self.by_data_centre.iter();
     let newer = evacuations.filter(move |(_, evacuation)| evacuation.revision > after);
     newer.map(|(data_centre, evacuation)| Record::Evacuation {
       closed: evacuation.closed,
@@ -70,12 +70,12 @@
   /// Applies a record; true if it is newer than the known one. A data centre that is open both
   /// before and after may have been closed in between.
   pub fn apply(&mut self, data_centre: String, closed: bool, revision: Revision) -> bool {
-    let known = self.evacuations.get(&data_centre);
+    let known = self.by_data_centre.get(&data_centre);
     if known.is_some_and(|known| known.revision >= revision) {
       return false;
     }
     self
-      .evacuations
+      .by_data_centre
       .insert(data_centre, Evacuation { closed, revision });
     true
   }
