--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -1,7 +1,7 @@
 mod overlay;
 mod peer;
 mod reading;
-mod telling;
+mod sending;
 
 use {
   self::{overlay::Overlay, peer::Peer},
@@ -24,8 +24,8 @@
 /// again when it comes back.
 const PEER_TTL: Duration = Duration::from_mins(5);
 
-/// A balancer that is heard from after this long is logged; balancers in other data centres send a
-/// status to agents only every two seconds.
+/// After this long without a frame from a balancer, the next one is logged; balancers in other data
+/// centres send a status to agents only every two seconds.
 const LOST_AFTER: Duration = Duration::from_secs(5);
 
 /// The shortest idle timeout of flows, whatever the configuration says.
@@ -54,7 +54,7 @@
   /// centre.
   closing: Duration,
   /// The part of `closing` that was left when the latest evacuation was received; the time since
-  /// the previous platform update, during which it may have been ordered, is subtracted.
+  /// the platform's previous confirmation, during which it may have been ordered, is subtracted.
   evacuation_left: Duration,
   /// When the platform last confirmed the catalog.
   confirmed: Option<Instant>,
@@ -77,8 +77,8 @@
   started: Instant,
   stopping: bool,
   tuning: Tuning,
-  /// The number of changes of the catalog.
-  version: u64,
+  /// The number of updates that have changed the catalog.
+  changes: u64,
   /// The update request that is to be sent: the peer, and the revision after which records are
   /// missing.
   wanted: Option<(SocketAddrV4, Revision)>,
@@ -114,7 +114,7 @@
       started: now,
       stopping: false,
       tuning,
-      version: 0,
+      changes: 0,
       wanted: None,
     }
   }
@@ -147,12 +147,12 @@
   /// that and not heard from yet.
   pub fn maybe_alive(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
     let timeout = self.tuning.peer_timeout;
-    let present = move |peer: &Peer| {
-      let last = peer.last_heard.unwrap_or(peer.since);
+    let maybe_alive = move |peer: &Peer| {
+      let last = peer.last_heard.unwrap_or(peer.known_since);
       peer.balancer && now.saturating_duration_since(last) < timeout
     };
     let peers = self.peers.iter();
-    let peers = peers.filter(move |(_, peer)| present(peer));
+    let peers = peers.filter(move |(_, peer)| maybe_alive(peer));
     peers.map(|(address, _)| *address)
   }
 
@@ -171,7 +171,7 @@
   pub fn expire(&mut self, now: Instant) {
     self.catalog.expire(now);
     self.peers.retain(|_, peer| {
-      let last = peer.last_heard.unwrap_or(peer.since);
+      let last = peer.last_heard.unwrap_or(peer.known_since);
       now.saturating_duration_since(last) < PEER_TTL
     });
   }
@@ -224,7 +224,7 @@
     let change = self.catalog.apply_update(now, update);
     if origin == Origin::Platform {
       self.confirmed = Some(now);
-      // Peers start reading the platform themselves if the reader's status stays away.
+      // The status passes the confirmation on; without one, peers read the platform themselves.
       self.next = now;
     } else {
       self.pull = None;
@@ -233,7 +233,7 @@
       self.evacuation_left = age.map_or(Duration::ZERO, |age| self.closing.saturating_sub(age));
     }
     if !change.is_empty() {
-      self.version += 1;
+      self.changes += 1;
       log::info!(
         version:% = self.catalog.version(), revision:% = self.catalog.synced(),
         origin:? = origin, targets = change.targets.len(), configuration = change.configuration;
@@ -386,9 +386,9 @@
     self.wanted.take()
   }
 
-  /// Counts the changes of the catalog.
-  pub fn version(&self) -> u64 {
-    self.version
+  /// The number of updates that have changed the catalog.
+  pub fn changes(&self) -> u64 {
+    self.changes
   }
 
   fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
--- a/src/datagram/gossip/peer.rs
+++ b/src/datagram/gossip/peer.rs
@@ -16,8 +16,8 @@
   /// Base-2 logarithm of its link's rate in bytes per second; 0 if unknown.
   pub link: u8,
   /// When this process learned of it.
-  pub since: Instant,
-  /// Whether it is about to stop.
+  pub known_since: Instant,
+  /// Whether it is stopping.
   pub stopping: bool,
   /// When it was last sent a status.
   pub last_sent: Option<Instant>,
@@ -33,7 +33,7 @@
       last_heard: None,
       incarnation: None,
       link: 0,
-      since: now,
+      known_since: now,
       stopping: false,
       last_sent: None,
     }
--- a/src/datagram/gossip/reading.rs
+++ b/src/datagram/gossip/reading.rs
@@ -13,12 +13,12 @@
 
 /// How long a process waits for an update from the seeds when the whole system starts for the first
 /// time.
-const FIRST_START: Duration = Duration::from_secs(5);
+const FIRST_START_DELAY: Duration = Duration::from_secs(5);
 
 impl Gossip {
   /// Whether this process is to read the platform. The readers are the live balancers with the
   /// lowest rank; any other balancer reads too once its catalog has not been confirmed for the
-  /// takeover time. A reader pushes to all others, hence the widest links rank first.
+  /// takeover time. A reader pushes to all others, hence the fastest links rank first.
   pub fn is_reader(&self, now: Instant) -> bool {
     if !self.balancer || self.stopping {
       return false;
@@ -46,7 +46,7 @@
 pub(super) fn read_delay(settings: &Settings) -> Duration {
   let seed = settings.seeds.is_empty() || settings.seeds.contains(&settings.peers);
   if settings.first_start && !seed {
-    FIRST_START
+    FIRST_START_DELAY
   } else {
     Duration::ZERO
   }
--- a/src/datagram/gossip/telling.rs
+++ b/src/datagram/gossip/sending.rs
@@ -31,8 +31,7 @@
 const INTRODUCE_FOR: Duration = Duration::from_secs(3);
 
 impl Gossip {
-  /// Sends the statuses that are due: to the balancers and to `agents`. `role` describes this
-  /// process.
+  /// Sends the statuses of a balancer that are due: to the other balancers and to `agents`.
   pub fn tick(&mut self, now: Instant, role: Role, agents: &Agents, out: &mut Outbox) {
     if now < self.next {
       return;
@@ -52,9 +51,10 @@
     }
   }
 
-  /// Sends a status to the balancers now: to those of this data centre at each call, to others less
-  /// often. Unless the overlay is a full mesh, only its members in other data centres are sent one;
-  /// a reader sends one to all.
+  /// Sends a status to the balancers now: to responsive ones of this data centre at each call, to
+  /// others less often. Unless the overlay is a full mesh, in other data centres a balancer sends one
+  /// only to its neighbours, and an agent only to balancers that it has heard from lately; newly
+  /// known balancers are sent one too, and a reader sends one to all.
   pub fn broadcast_status(&mut self, now: Instant, role: Role, out: &mut Outbox) {
     self.next = now + self.tuning.status;
     let frame = Frame::Status(self.own_status(now, role));
@@ -80,13 +80,13 @@
       let recent = peer
         .last_heard
         .is_some_and(|heard| since(heard) < REPLY_FOR);
-      let linked = if balancer {
+      let neighbour = if balancer {
         overlay.has(*address)
       } else {
         recent
       };
-      let unknown = peer.data_centre.is_none() && since(peer.since) < INTRODUCE_FOR;
-      if !all && !local && !linked && !unknown && peer.last_sent.is_some() {
+      let unknown = peer.data_centre.is_none() && since(peer.known_since) < INTRODUCE_FOR;
+      if !all && !local && !neighbour && !unknown && peer.last_sent.is_some() {
         continue;
       }
       peer.last_sent = Some(now);
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -25,7 +25,7 @@
 /// The socket of callers' packets at a balancer, of the upstream's at an agent.
 const PACKETS: Token = Token(1);
 
-/// The waker of the control thread, which announces messages.
+/// The waker by which other threads announce messages.
 pub const MESSAGES: Token = Token(2);
 
 /// The size of the receive buffer, in bytes: the largest datagram.
@@ -70,6 +70,7 @@
   messages: Receiver<Message>,
   out: Outbox,
   poll: Poll,
+  /// `Gossip::changes` at the latest publication of the catalog.
   published: Option<u64>,
   /// Whether this process is to read the platform, and when that was last checked.
   reader: Option<(Instant, bool)>,
@@ -244,8 +245,8 @@
       *current = reading;
       modified
     });
-    if self.published != Some(gossip.version()) {
-      self.published = Some(gossip.version());
+    if self.published != Some(gossip.changes()) {
+      self.published = Some(gossip.changes());
       self.shared.publish(gossip.catalog().clone());
     }
     if let Some((peer, after)) = gossip.take_wanted() {
@@ -254,7 +255,7 @@
     }
   }
 
-  /// Handles the control thread's messages; true once the packet loop is to end.
+  /// Handles the messages of other threads; true once the packet loop is to end.
   fn handle_messages(&mut self) -> bool {
     while let Ok(message) = self.messages.try_recv() {
       let now = Instant::now();
