--- a/src/datagram/node/allowance.rs
+++ b/src/datagram/node/allowance.rs
@@ -14,7 +14,7 @@
 /// responses over a slow link arrive in time and aren't requested again.
 const BACKLOG_MAX: Duration = Duration::from_millis(200);
 
-/// Smaller responses are always allowed, in bytes.
+/// The size from which responses are limited, in bytes.
 const LIMITED_FROM: usize = 4096;
 
 /// Limits the responses to peers to what the instance's link carries. A peer that is refused pulls
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -25,10 +25,11 @@
   tokio::sync::{mpsc, oneshot},
 };
 
-/// How long a watch waits for a change. A reader's status counts as fresh for about as long.
+/// How long a watch waits for a change; shorter than `Tuning::takeover`, after which other balancers
+/// read the platform too.
 const WATCH_WAIT: Duration = Duration::from_millis(1200);
 
-/// The pause after an answer of the platform: each call has a price, and changes come in bursts.
+/// The pause after an answer of the platform: each call costs money, and changes come in bursts.
 const READ_PAUSE: Duration = Duration::from_millis(250);
 
 /// The wait after the first failure; doubled with each further one.
@@ -45,7 +46,7 @@
 const ATTEMPTS_MAX: usize = 4;
 
 /// The timeout of a pull from a peer, and of a state dump.
-const PEER_TIMEOUT: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The path at which peers pull updates.
 const UPDATE_PATH: &str = "/v1/news";
@@ -177,7 +178,7 @@
 
 async fn pull_update(peer: SocketAddrV4, after: Revision) -> Result<Update, Fault> {
   let path = format!("{UPDATE_PATH}?after={after}");
-  let (status, body) = web::request(peer.into(), Method::GET, &path, "", PEER_TIMEOUT).await?;
+  let (status, body) = web::request(peer.into(), Method::GET, &path, "", REQUEST_TIMEOUT).await?;
   if status != StatusCode::OK {
     return Err(Fault::new(
       Code::PeerUnreachable,
@@ -239,7 +240,7 @@
 async fn dump<S: Source>(source: &S, shared: &Shared) -> Response<Full<Bytes>> {
   let (response, state) = oneshot::channel();
   shared.send(Message::Dump(response));
-  match tokio::time::timeout(PEER_TIMEOUT, state).await {
+  match tokio::time::timeout(REQUEST_TIMEOUT, state).await {
     Ok(Ok(mut state)) => {
       state["ignored"] = json!(source.ignored());
       web::answer(StatusCode::OK, state.to_string())
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -7,7 +7,7 @@
   std::collections::BTreeSet,
 };
 
-/// The services that a process routes to or has targets of, as the resource API shows them.
+/// The services that are on a route or have a target or tombstone, as the resource API shows them.
 pub fn services(catalog: &Catalog) -> Value {
   let routed = catalog.configuration().into_iter();
   let routed = routed.flat_map(|configuration| configuration.routes.values());
@@ -18,7 +18,7 @@
   Value::Array(shown.collect())
 }
 
-/// One service; none if no route leads to it and it has no listed target.
+/// One service; none if it is on no route and has neither target nor tombstone.
 pub fn service(catalog: &Catalog, name: &str) -> Option<Value> {
   let services = services(catalog);
   let services = services.as_array()?.iter();
--- a/src/datagram/node/run.rs
+++ b/src/datagram/node/run.rs
@@ -32,8 +32,8 @@
 };
 
 /// The shutdown time of an agent: until balancers have learned that it takes no new flows, and then
-/// until its upstream has answered all requests in flight. Flows with further requests are idle in
-/// between.
+/// until its upstream has answered all requests in flight. Flows that are idle between
+/// requests don't count.
 const AGENT_LINGER: Linger = Linger {
   min: Duration::from_millis(20),
   max: Duration::from_millis(700),
@@ -154,7 +154,7 @@
   Ok(())
 }
 
-/// Waits until no request is in flight, or for the maximum time.
+/// Waits for the minimum time, and then until no request is in flight or the maximum has passed.
 fn linger(linger: &Linger, shared: &Shared) {
   let end = Instant::now() + linger.max;
   thread::sleep(linger.min);
--- a/src/datagram/node/shared.rs
+++ b/src/datagram/node/shared.rs
@@ -15,7 +15,7 @@
   tokio::sync::{mpsc, oneshot, watch},
 };
 
-/// A message from the control thread to the packet thread.
+/// A message to the packet thread.
 #[derive(Debug)]
 pub enum Message {
   /// A request for the state.
--- a/src/datagram/node/source.rs
+++ b/src/datagram/node/source.rs
@@ -5,11 +5,11 @@
 
 /// The platform's store, from which the configuration and the target list are read.
 pub trait Source: Clone + Send + Sync + 'static {
-  /// Reads a snapshot. Fails if the platform doesn't answer, or not validly.
+  /// Reads a snapshot. Fails if the platform doesn't answer, or its answer is invalid.
   fn read(&self) -> impl Future<Output = Result<Update, Fault>> + Send;
 
   /// Waits up to `wait` for changes after a revision; none if the platform no longer has the
-  /// history since then. Fails if the platform doesn't answer, or not validly.
+  /// history since then. Fails if the platform doesn't answer, or its answer is invalid.
   fn watch(
     &self,
     after: Revision,
