--- a/src/datagram/bundle.rs
+++ b/src/datagram/bundle.rs
@@ -10,11 +10,11 @@
 /// The largest bundle, in bytes: it fits in a datagram of 1,500 bytes.
 const SIZE_MAX: usize = 1200;
 
-/// The most bytes that a frame takes in a bundle besides its own: its length.
+/// The most bytes that the length of a frame takes in a bundle.
 const LENGTH_MAX: usize = 2;
 
-/// Packs the frames that are sent to one process at the same time into one datagram, since a
-/// datagram costs sender and receiver more than its bytes.
+/// Packs the frames that are sent to one process at the same time into one datagram, since each
+/// datagram costs sender and receiver something besides its bytes.
 #[derive(Debug, Default)]
 pub struct Bundler {
   bytes: Vec<u8>,
--- a/src/datagram/catalog.rs
+++ b/src/datagram/catalog.rs
@@ -13,7 +13,7 @@
   },
 };
 
-/// How long a tombstone or former backend is kept. Their flows may live for as long.
+/// How long a tombstone or former backend is kept; longer than their flows may live.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(75);
 
 /// A target, or the tombstone of one.
@@ -169,7 +169,7 @@
     !known
   }
 
-  /// The update after a revision; a snapshot where removals since then may be unknown here.
+  /// The update after a revision; a snapshot if removals since then may be unknown here.
   pub fn since(&self, after: Revision) -> Update {
     let snapshot = after < self.removals_from;
     let oldest = if snapshot { Revision::default() } else { after };
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -116,8 +116,8 @@
   pub flows_max: usize,
   /// The idle timeout of flows before there is a configuration.
   pub idle: Duration,
-  /// How long a target may take to answer an opening packet before another is tried. A round trip
-  /// between data centres takes 3 ms.
+  /// How long a target may take to answer an opening packet before another is tried, at least and
+  /// initially. A round trip between data centres takes 3 ms.
   pub open_wait: Duration,
   /// How many balancers read the platform.
   pub readers: usize,
@@ -135,7 +135,7 @@
   /// The longest interval between two statuses of a process.
   pub status: Duration,
   /// How old the platform's latest confirmation of the catalog may become before a balancer reads
-  /// the platform itself; longer than a watch of the reader and the spread of its status.
+  /// the platform itself; longer than a watch of the reader and the propagation of its status.
   pub takeover: Duration,
   /// The fraction of its route's objective that a new flow may be queued, so that its request can
   /// still be answered in time.
--- a/src/datagram/timeout.rs
+++ b/src/datagram/timeout.rs
@@ -6,12 +6,11 @@
 /// The ratio of the timeout to the average answer time.
 const FACTOR: f64 = 3.0;
 
-/// The longest timeout: half of the time before a caller's last retransmission of an opening
-/// packet.
+/// The longest timeout: half of the time from a caller's first opening packet to its last one.
 const MAX: Duration = Duration::from_millis(300);
 
-/// An adaptive timeout: a multiple of the moving average of answer times, so that an overloaded
-/// balancer doesn't add to its load by repeating requests.
+/// An adaptive timeout: a multiple of the moving average of answer times, so that it grows under
+/// load, when needless repetitions would add to that load.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeout {
   min: Duration,
