--- a/tests/datagram/delta.rs
+++ b/tests/datagram/delta.rs
@@ -11,7 +11,7 @@
   std::{collections::BTreeMap, time::Instant},
 };
 
-/// Routes of so many addresses.
+/// Routes of `count` addresses, all to service `a`.
 fn routes(count: u8) -> Vec<(u8, &'static str)> {
   (1..=count).map(|number| (number, "a")).collect()
 }
--- a/tests/datagram/evacuations.rs
+++ b/tests/datagram/evacuations.rs
@@ -102,7 +102,7 @@
 }
 
 /// A balancer with two targets of service `a` in its own data centre and one elsewhere.
-fn with_another() -> Balancer {
+fn with_remote_target() -> Balancer {
   let mut balancer = balancer();
   let records = [elsewhere(5, "up-13", 13, "a")];
   balancer.platform(update(Some(4), 5, &records));
@@ -110,18 +110,18 @@
   balancer
 }
 
-fn close(balancer: &mut Balancer, after: u64, data_centre: &str, closed: bool) -> Vec<Sent> {
+fn set_closed(balancer: &mut Balancer, after: u64, data_centre: &str, closed: bool) -> Vec<Sent> {
   let records = [evacuation(after + 1, data_centre, closed)];
   balancer.platform(update(Some(after), after + 1, &records))
 }
 
 #[test]
 fn new_flows_go_to_no_target_of_a_closed_data_centre_and_open_ones_stay() {
-  let mut balancer = with_another();
+  let mut balancer = with_remote_target();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (host, _) = carried(&sent)[0];
   balancer.frame(host, &Frame::Opened(flow(1, 1), Load::default()), &[]);
-  close(&mut balancer, 5, LOCAL, true);
+  set_closed(&mut balancer, 5, LOCAL, true);
   for port in 2..20 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
     assert_eq!(carried(&sent), [(13, Purpose::Open)]);
@@ -129,19 +129,19 @@
   }
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_eq!(carried(&sent), [(host, Purpose::Deliver)]);
-  close(&mut balancer, 6, LOCAL, false);
+  set_closed(&mut balancer, 6, LOCAL, false);
   let sent = balancer.packet(Packet::open(flow(30, 1), 0));
   assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
 }
 
 #[test]
 fn a_queued_flow_goes_to_another_data_centre_once_its_own_is_closed() {
-  let mut balancer = with_another();
+  let mut balancer = with_remote_target();
   for host in [11, 12, 13] {
     feed_status(&mut balancer, host, 1, busy(40));
   }
   assert_eq!(carried(&balancer.packet(Packet::open(flow(1, 1), 0))), []);
-  close(&mut balancer, 5, LOCAL, true);
+  set_closed(&mut balancer, 5, LOCAL, true);
   feed_status(&mut balancer, 11, 1, Load::default());
   assert_eq!(carried(&balancer.pass(Duration::from_millis(6))), []);
   feed_status(&mut balancer, 13, 1, Load::default());
@@ -151,14 +151,14 @@
 
 #[test]
 fn flows_are_reset_at_once_if_all_data_centres_are_closed() {
-  let mut balancer = with_another();
+  let mut balancer = with_remote_target();
   for host in [11, 12, 13] {
     feed_status(&mut balancer, host, 1, busy(40));
   }
   // One flow is queued before the data centres are closed, one arrives after.
   balancer.packet(Packet::open(flow(1, 1), 0));
-  close(&mut balancer, 5, LOCAL, true);
-  close(&mut balancer, 6, REMOTE, true);
+  set_closed(&mut balancer, 5, LOCAL, true);
+  set_closed(&mut balancer, 6, REMOTE, true);
   let sent = balancer.pass(Duration::from_millis(6));
   assert!(is_reset(&sent, flow(1, 1), 0), "{sent:?}");
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_balancer_avoids_a_data_centre_that_an_agent_reports_closed() {
-  let mut balancer = with_another();
+  let mut balancer = with_remote_target();
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (host, _) = carried(&sent)[0];
   let refused = Frame::Refused(flow(1, 1), Refusal::Closed, Load::default());
@@ -193,7 +193,7 @@
   ];
   balancer.platform(update(None, 3, &records));
   balancer.pass(age);
-  close(&mut balancer, 3, LOCAL, true);
+  set_closed(&mut balancer, 3, LOCAL, true);
   for host in [11, 13] {
     feed_status(&mut balancer, host, 1, Load::default());
   }
--- a/tests/datagram/logs.rs
+++ b/tests/datagram/logs.rs
@@ -2,6 +2,5 @@
 
 #[test]
 fn without_buffered_lines_no_flush_is_due() {
-  // No line is buffered, so no flush is due.
   assert_eq!(fallwell::logging::due(), None);
 }
--- a/tests/datagram/overlay.rs
+++ b/tests/datagram/overlay.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    balancing::{absent, feed_status as tell_load, is_reset, search},
+    balancing::{absent, feed_status as feed_load, is_reset, search},
     support::{Harness, flow, listed, settings, unlisted, update},
   },
   fallwell::{
@@ -61,8 +61,8 @@
   );
 }
 
-/// The number of balancers that one, which has heard from so many, sends statuses to within three
-/// seconds.
+/// The number of processes that a balancer sends statuses to within three seconds while it hears
+/// from `balancers` others.
 fn receivers(balancers: u32) -> usize {
   let mut now = Instant::now();
   let counter = Arc::default();
@@ -96,7 +96,7 @@
     }
     out.clear();
     machine.step(now, Event::Tick, &mut out);
-    // Each is sent one when it becomes known.
+    // In the first second each is sent one because it has just become known.
     if step >= 20 {
       receivers.extend(out.datagrams().iter().map(|datagram| datagram.to));
     }
@@ -153,7 +153,7 @@
 #[test]
 fn on_the_first_start_only_the_seeds_read() {
   let now = Instant::now();
-  let mut seed = Settings {
+  let mut settings = Settings {
     first_start: true,
     seeds: vec![address(1), address(2)],
     peers: address(1),
@@ -166,18 +166,18 @@
       balancer::Machine::new(now, settings, tuning, crate::plain::Plain, 1, counter);
     machine.gossip().is_reader(now + after)
   };
-  assert!(reads(&seed, Duration::ZERO));
-  seed.peers = address(3);
-  assert!(!reads(&seed, Duration::from_secs(1)));
+  assert!(reads(&settings, Duration::ZERO));
+  settings.peers = address(3);
+  assert!(!reads(&settings, Duration::from_secs(1)));
   // Its seeds may be down.
-  assert!(reads(&seed, Duration::from_secs(6)));
+  assert!(reads(&settings, Duration::from_secs(6)));
   // After the first start, a process doesn't wait for its seeds.
-  seed.first_start = false;
-  assert!(reads(&seed, Duration::ZERO));
+  settings.first_start = false;
+  assert!(reads(&settings, Duration::ZERO));
 }
 
 /// The time until a flow of a removed target is reset, in milliseconds, if one agent that may own
-/// it doesn't answer and the balancer has heard from so many others.
+/// it doesn't answer and the balancer has heard from `balancers` others.
 fn reset_after(balancers: u32) -> u64 {
   let mut balancer = crate::balancing::balancer();
   let up = [listed(5, "up-13", 13, "a", Presence::Live)];
@@ -186,7 +186,7 @@
   for _ in 0..30 {
     balancer.pass(Duration::from_millis(100));
     for host in [11, 12, 21] {
-      tell_load(&mut balancer, host, 1, Load::default());
+      feed_load(&mut balancer, host, 1, Load::default());
     }
     for number in 1..=balancers {
       let mut bytes = Vec::new();
--- a/tests/datagram/random_run.rs
+++ b/tests/datagram/random_run.rs
@@ -265,7 +265,7 @@
 
 /// Seeds of earlier failures, each with its cause.
 const REGRESSIONS: [u64; 3] = [
-  // The simulation took time without the store for time without faults.
+  // The simulation counted time without the store as time without faults.
   8_667_209_001_218_903_438,
   // A balancer that had just started reset a flow of a target that had been removed from the target
   // list but was alive.
@@ -317,8 +317,8 @@
   }
 }
 
-/// Two data centres that are closed and opened under faults, and upstreams in warm-up that more
-/// calls arrive for than they may be given.
+/// Two data centres that are closed and opened under faults, and more calls than upstreams in
+/// warm-up may be given.
 fn simulate_data_centres(seed: u64) {
   let mut world = started(World::with_data_centres(seed));
   for _ in 0..60 {
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -59,14 +59,14 @@
   }
 }
 
-/// A configuration whose routes, given by number, each lead to one service.
+/// A configuration whose routes, given by number, each have one service.
 pub fn configuration(version: u64, routes: &[(u8, &str)]) -> Configuration {
   let shares = routes.iter();
   let shares = shares.map(|(number, service)| (*number, vec![(*service, 1)]));
   weighted(version, &shares.collect::<Vec<_>>())
 }
 
-/// A configuration whose routes lead to services by weight.
+/// A configuration whose routes have services by weight.
 pub fn weighted(version: u64, routes: &[(u8, Vec<(&str, u32)>)]) -> Configuration {
   let routes = routes.iter();
   let routes = routes.map(|(number, shares)| {
@@ -94,7 +94,7 @@
   Backends::from(backends.collect::<Vec<_>>())
 }
 
-/// The record of a configuration whose routes lead to services by weight.
+/// The record of a configuration whose routes have services by weight.
 pub fn configured_weighted(
   revision: u64,
   version: u64,
@@ -300,7 +300,8 @@
     Self::new(machine, now)
   }
 
-  /// A balancer that stops placing flows in an evacuated data centre after half of `closing`.
+  /// A balancer that stops placing flows in an evacuated data centre after half of `closing`. Its
+  /// incarnation, 500, sets that fraction.
   pub fn closing(host: u8, closing: Duration) -> Self {
     let now = Instant::now();
     let counter = Arc::new(Counter::default());
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -38,7 +38,7 @@
 /// The time between `Event::Stop` and `Event::End` of a process, in milliseconds.
 const SHUTDOWN_MS: u64 = 20;
 
-/// How often a caller sends a packet of an open flow in all.
+/// How many times a caller sends a packet of an open flow in all.
 const ATTEMPTS_MAX: u32 = 12;
 
 /// The interval of a caller's retransmissions, in milliseconds.
@@ -53,9 +53,10 @@
   /// All services that it was ever routed to.
   ever: BTreeSet<&'static str>,
   routed: bool,
-  /// When its present services were set, in milliseconds.
+  /// When its present services of a positive weight were set, in milliseconds.
   since: u64,
-  taking: BTreeSet<&'static str>,
+  /// The services of a positive weight.
+  weighted: BTreeSet<&'static str>,
 }
 
 enum Node {
@@ -100,6 +101,7 @@
 /// injects. Checks the guarantees that hold at any time.
 pub struct World {
   calls: HashMap<Flow, Call>,
+  /// The instant of simulated time 0.
   base: Instant,
   upstreams: BTreeMap<u8, SimulatedUpstream>,
   /// Whether the simulation begins with the first start of the whole system.
@@ -113,7 +115,8 @@
   items: HashMap<u64, Item>,
   last_fault: u64,
   loss: f64,
-  next: u64,
+  /// The number of the latest item.
+  last_item: u64,
   nodes: BTreeMap<u8, Node>,
   now: u64,
   out: Outbox,
@@ -167,7 +170,7 @@
       items: HashMap::new(),
       last_fault: 0,
       loss: 0.0,
-      next: 0,
+      last_item: 0,
       nodes: BTreeMap::new(),
       now: 0,
       out: Outbox::default(),
@@ -328,7 +331,7 @@
     self.records.insert("configuration".into(), record);
   }
 
-  /// Stores a configuration whose routes lead to services by weight.
+  /// Stores a configuration whose routes have services by weight.
   pub fn configure_weighted(&mut self, routes: &[(u8, Vec<(&'static str, u32)>)]) {
     let revision = self.set_routes(routes);
     let record = configured_weighted(revision, self.version, routes);
@@ -342,13 +345,13 @@
     }
     for (route, shares) in routes {
       let state = self.routes.entry(*route).or_default();
-      let taking = shares.iter().filter(|(_, weight)| *weight > 0);
-      let taking = taking.map(|(service, _)| *service).collect();
-      state.ever.extend(&taking);
-      if state.taking != taking {
+      let weighted = shares.iter().filter(|(_, weight)| *weight > 0);
+      let weighted = weighted.map(|(service, _)| *service).collect();
+      state.ever.extend(&weighted);
+      if state.weighted != weighted {
         state.since = self.now;
       }
-      state.taking = taking;
+      state.weighted = weighted;
       state.routed = true;
     }
     self.version += 1 + self.version % 3;
@@ -479,9 +482,9 @@
   }
 
   fn schedule(&mut self, after: u64, item: Item) {
-    self.next += 1;
-    self.items.insert(self.next, item);
-    self.queue.push(Reverse((self.now + after, self.next)));
+    self.last_item += 1;
+    self.items.insert(self.last_item, item);
+    self.queue.push(Reverse((self.now + after, self.last_item)));
   }
 
   fn next_revision(&mut self) -> u64 {
@@ -534,12 +537,12 @@
     let gossip = node.machine().gossip();
     let (reads, synced) = (gossip.is_reader(now), gossip.catalog().synced());
     if reads && answers {
-      let whole = synced == Revision(0);
+      let snapshot = synced == Revision(0);
       let records = self.records.values();
       let records = records.filter(|record| record.revision() > synced);
-      let present = records.filter(|record| !whole || Self::is_in_snapshot(record));
+      let present = records.filter(|record| !snapshot || Self::is_in_snapshot(record));
       let update = Update {
-        after: (!whole).then_some(synced),
+        after: (!snapshot).then_some(synced),
         records: present.cloned().collect(),
         to: Revision(self.revision),
       };
@@ -729,10 +732,11 @@
       "{flow} reached service {service}"
     );
     assert!(!packet.returned);
-    let old = state.routed && !state.taking.contains(service) && self.now > state.since + APPLY_MS;
+    let old =
+      state.routed && !state.weighted.contains(service) && self.now > state.since + APPLY_MS;
     assert!(
       packet.kind != Kind::Open || !old || !calm,
-      "{flow} was opened at service {service}, which its route no longer leads to"
+      "{flow} was opened at service {service}, which its route no longer opens flows at"
     );
     let answer = if packet.kind == Kind::Open {
       let late = upstream
@@ -747,7 +751,7 @@
         sequence,
         ..packet
       }
-    } else if upstream.opens(&packet) {
+    } else if upstream.accepts(&packet) {
       Packet {
         acknowledges: packet.sequence,
         data: 10,
@@ -767,8 +771,8 @@
 }
 
 impl SimulatedUpstream {
-  /// Whether the packet is of a flow that is open here, or completes its opening.
-  fn opens(&mut self, packet: &Packet) -> bool {
+  /// Whether the packet belongs to an open flow; one that completes the opening opens it.
+  fn accepts(&mut self, packet: &Packet) -> bool {
     let half_open = self.half_open.get(&packet.flow).copied();
     if half_open.is_some_and(|sequence| packet.acknowledges == sequence + 1) {
       self.open.insert(packet.flow);
--- a/tests/datagram/world/data_centres.rs
+++ b/tests/datagram/world/data_centres.rs
@@ -143,7 +143,7 @@
     }
   }
 
-  /// Whether an upstream is in warm-up, or was a second ago.
+  /// Whether an upstream is in warm-up, or was within the last second.
   fn is_warming_up(&self, host: u8) -> bool {
     let until = self
       .data_centres
