--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -36,20 +36,20 @@
       .div_ceil(TOMBSTONES_MAX)
       .max(1);
     for part in 0..parts {
-      let named = tombstones
+      let tombstones_part = tombstones
         .iter()
         .skip(part * TOMBSTONES_MAX)
         .take(TOMBSTONES_MAX);
-      let former_backends = former_backends
+      let former_backends_part = former_backends
         .iter()
         .skip(part * TOMBSTONES_MAX)
         .take(TOMBSTONES_MAX);
       let frame = Frame::History {
         known,
-        former_backends: former_backends.cloned().collect(),
+        former_backends: former_backends_part.cloned().collect(),
         part: part as u16,
         parts: parts as u16,
-        tombstones: named.cloned().collect(),
+        tombstones: tombstones_part.cloned().collect(),
       };
       out.frame(to, &frame, &[]);
     }
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -111,7 +111,7 @@
   pub(super) data_centre: String,
   /// Targets that were removed before this process saw them listed, as reported by agents and
   /// peers.
-  tombstones: BTreeMap<SocketAddrV4, RemovedTarget>,
+  reported_removed: BTreeMap<SocketAddrV4, RemovedTarget>,
   port: u16,
   pub(super) services: BTreeMap<Service, Vec<SocketAddrV4>>,
   started: Instant,
@@ -130,7 +130,7 @@
       by_agent: BTreeMap::new(),
       evacuations: Evacuations::default(),
       data_centre,
-      tombstones: BTreeMap::new(),
+      reported_removed: BTreeMap::new(),
       port,
       services: BTreeMap::new(),
       started: now,
@@ -192,11 +192,11 @@
       return false;
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
-    match (self.by_agent.get(&agent), self.tombstones.get(&agent)) {
+    match (self.by_agent.get(&agent), self.reported_removed.get(&agent)) {
       (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_alive(now, target),
-      (None, Some(tombstone)) => {
-        let last = tombstone.last_heard.unwrap_or(tombstone.learnt);
-        is_past_grace(tombstone.removed)
+      (None, Some(removed_target)) => {
+        let last = removed_target.last_heard.unwrap_or(removed_target.learnt);
+        is_past_grace(removed_target.removed)
           && now.saturating_duration_since(last) >= self.tuning.peer_timeout
       }
       (None, None) => !self.unlisted.contains_key(&agent),
@@ -221,13 +221,13 @@
       let removed = now.checked_sub(Duration::from_millis((*age_ms).into()));
       agents.push(agent);
       self.unlisted.remove(&agent);
-      let tombstone = RemovedTarget {
+      let removed_target = RemovedTarget {
         removed: removed.unwrap_or(now),
         last_heard: None,
         learnt: now,
         service: service.clone(),
       };
-      self.tombstones.insert(agent, tombstone);
+      self.reported_removed.insert(agent, removed_target);
       is_new = true;
     }
     is_new
@@ -253,12 +253,15 @@
         service: entry.target.service.clone(),
       })
     });
-    let reported = self.tombstones.iter().map(|(agent, tombstone)| Tombstone {
-      // Only its IP address is used: agents listen on a fixed port.
-      address: *agent,
-      age_ms: age_ms(now, tombstone.removed),
-      service: tombstone.service.clone(),
-    });
+    let reported = self
+      .reported_removed
+      .iter()
+      .map(|(agent, removed_target)| Tombstone {
+        // Only its IP address is used: agents listen on a fixed port.
+        address: *agent,
+        age_ms: age_ms(now, removed_target.removed),
+        service: removed_target.service.clone(),
+      });
     removed.chain(reported).collect()
   }
 
@@ -312,8 +315,8 @@
     load: Load,
   ) -> IncarnationChange {
     let Some(target) = self.by_agent.get_mut(&agent) else {
-      match self.tombstones.get_mut(&agent) {
-        Some(tombstone) => tombstone.last_heard = Some(now),
+      match self.reported_removed.get_mut(&agent) {
+        Some(removed_target) => removed_target.last_heard = Some(now),
         None => {
           self.unlisted.insert(agent, now);
         }
@@ -370,8 +373,8 @@
       .unlisted
       .retain(|_, heard| now.saturating_duration_since(*heard) < peer_timeout);
     self
-      .tombstones
-      .retain(|_, tombstone| now.saturating_duration_since(tombstone.removed) < life);
+      .reported_removed
+      .retain(|_, removed_target| now.saturating_duration_since(removed_target.removed) < life);
   }
 
   /// Replaces the targets by those of the catalog; what is known of their load is kept.
@@ -395,8 +398,11 @@
         *current = entry;
       }
     }
-    for (agent, tombstone) in &self.tombstones {
-      let agents = self.services.entry(tombstone.service.clone()).or_default();
+    for (agent, removed_target) in &self.reported_removed {
+      let agents = self
+        .services
+        .entry(removed_target.service.clone())
+        .or_default();
       if !agents.contains(agent) {
         agents.push(*agent);
       }
