--- a/src/datagram/bundle.rs
+++ b/src/datagram/bundle.rs
@@ -4,7 +4,7 @@
   std::net::SocketAddrV4,
 };
 
-/// The first byte of a bundle, which tells it from a frame.
+/// The first byte of a bundle, which distinguishes it from a frame.
 const BUNDLE_MARK: u8 = 0xb1;
 
 /// The largest bundle, in bytes: it fits in a datagram of 1,500 bytes.
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -5,7 +5,7 @@
   std::net::SocketAddrV4,
 };
 
-/// The first byte of a frame, which tells the version of its layout.
+/// The first byte of a frame: the version of its layout.
 const VERSION: u8 = 0xd4;
 
 /// The largest update that is pushed as a frame, in bytes: it fits in a datagram of 1,500 bytes.
@@ -113,7 +113,7 @@
   pub balancers: Vec<SocketAddrV4>,
   /// A hash of the name of its data centre.
   pub data_centre: u32,
-  /// A random number that tells this start of the process from others.
+  /// A random number that distinguishes this start of the process from others.
   pub incarnation: u32,
   /// Base-2 logarithm of its link's rate in bytes per second; 0 if unknown.
   pub link: u8,
@@ -177,7 +177,7 @@
   /// The sender's heartbeat.
   Status(Status),
   /// The agent doesn't know whether it owns the flows; delivering a packet of each as a test would
-  /// tell.
+  /// show it.
   Unsure {
     /// The flows.
     flows: Vec<Flow>,
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -31,7 +31,7 @@
 /// The shortest idle timeout of flows, whatever the configuration says.
 const IDLE_MIN: Duration = Duration::from_secs(1);
 
-/// How long an update requested from a peer may take before another peer is asked.
+/// How long an update requested from a peer may take before it is requested from another one.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The agents of listed targets, by whether they are in this process's data centre.
@@ -85,8 +85,8 @@
 }
 
 impl Gossip {
-  /// Creates the gossip state; `balancer` is the role of this process, and `incarnation` tells this
-  /// start of it from earlier ones.
+  /// Creates the gossip state; `balancer` is the role of this process, and `incarnation`
+  /// distinguishes this start of it from earlier ones.
   pub fn new(
     now: Instant,
     settings: &Settings,
--- a/src/datagram/load.rs
+++ b/src/datagram/load.rs
@@ -35,7 +35,7 @@
   }
 }
 
-/// The time until an additional request would be answered at a target with so many slots, in
+/// The time until an additional request would be answered at a target with `slots` slots, in
 /// milliseconds; `service_ms` is the processing time of one that isn't queued, 0 if unknown.
 pub fn wait_ms(service_ms: f64, work: u16, slots: u16) -> f64 {
   let service_ms = known_or_default(service_ms);
--- a/src/datagram/node/allowance.rs
+++ b/src/datagram/node/allowance.rs
@@ -35,7 +35,7 @@
     }
   }
 
-  /// Whether a response of so many bytes may be sent now; if so, it is counted.
+  /// Whether a response of `bytes` bytes may be sent now; if so, it is counted.
   pub fn admits(&self, now: Instant, bytes: usize) -> bool {
     let Some(link) = self.link.filter(|_| bytes >= LIMITED_FROM) else {
       return true;
--- a/src/datagram/node/run.rs
+++ b/src/datagram/node/run.rs
@@ -63,7 +63,7 @@
   role: &'static str,
 }
 
-/// Runs a balancer until it is told to stop and the fabric has sent callers elsewhere. On SIGHUP,
+/// Runs a balancer until a signal stops it and the fabric has sent callers elsewhere. On SIGHUP,
 /// `reload` reads the settings again. Fails if the process can't start or a thread fails.
 pub fn balancer<C: Codec, S: Source>(
   settings: &Settings,
@@ -85,7 +85,7 @@
   run(settings, source, program)
 }
 
-/// Runs an agent until it is told to stop. On SIGHUP, `reload` reads the settings again. Fails if
+/// Runs an agent until a signal stops it. On SIGHUP, `reload` reads the settings again. Fails if
 /// the process can't start or a thread fails.
 pub fn agent<C: Codec, S: Source>(
   settings: &Settings,
