--- a/tests/datagram/gossip.rs
+++ b/tests/datagram/gossip.rs
@@ -82,7 +82,7 @@
   gossip.handle_status(now, peer(3), &status(9, None));
   assert_eq!(gossip.take_wanted(), Some((peer(2), Revision(0))));
   assert_eq!(gossip.take_wanted(), None);
-  // It doesn't answer, so the next one is asked.
+  // It doesn't answer, so the update is requested from the next peer.
   gossip.cancel_pull(peer(2));
   gossip.handle_status(now, peer(3), &status(9, None));
   assert_eq!(gossip.take_wanted(), Some((peer(3), Revision(0))));
--- a/tests/datagram/world.rs
+++ b/tests/datagram/world.rs
@@ -267,7 +267,7 @@
     self.start_warmup(host);
     let revision = self.next_revision();
     let mut record = listed(revision, &id, host, service, Presence::Live);
-    self.place_record(host, &mut record);
+    self.set_location_and_warmup(host, &mut record);
     self.records.insert(id, record);
   }
 
@@ -293,7 +293,7 @@
     let (id, service) = (String::from(upstream.id.clone()), upstream.service);
     let revision = self.next_revision();
     let mut record = listed(revision, &id, host, service, Presence::Leaving);
-    self.place_record(host, &mut record);
+    self.set_location_and_warmup(host, &mut record);
     self.records.insert(id, record);
   }
 
@@ -415,7 +415,7 @@
     self.store_answers = answers;
   }
 
-  /// Opens a flow to a route, and sends so many requests in it one after another.
+  /// Opens a flow to a route, and sends `requests` requests in it one after another.
   pub fn call(&mut self, route: u8, requests: u32) {
     self.port = self.port.checked_add(1).unwrap_or(1024);
     let flow = crate::support::flow(self.port, route);
--- a/tests/datagram/world/data_centres.rs
+++ b/tests/datagram/world/data_centres.rs
@@ -136,7 +136,7 @@
     let revision = self.next_revision();
     let left = Duration::from_millis(left);
     let mut record = warming(revision, &id, host, self.upstreams[&host].service, left);
-    self.place_record(host, &mut record);
+    self.set_location_and_warmup(host, &mut record);
     self.records.insert(id, record);
     if !left.is_zero() {
       self.schedule(REPORT_INTERVAL_MS, Item::Warmup(host));
@@ -162,7 +162,7 @@
   }
 
   /// Sets the data centre and the rest of the warm-up in a target's record.
-  pub(super) fn place_record(&self, host: u8, record: &mut Record) {
+  pub(super) fn set_location_and_warmup(&self, host: u8, record: &mut Record) {
     if let Record::Target {
       target: Some(target),
       ..
