--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -50,12 +50,12 @@
 fn an_agent_forwards_a_test_and_runs_it_itself_where_it_is_named() {
   let mut agent = agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
-  let fan = Frame::FanOut {
+  let fan_out = Frame::FanOut {
     agents: vec![(peer(8), digest("b")), (peer(9), digest("a"))],
     synced: Revision(2),
     version: Version(1),
   };
-  let sent = agent.frame(BALANCER, &fan, &packet.write());
+  let sent = agent.frame(BALANCER, &fan_out, &packet.write());
   assert_matches!(
     &sent[..],
     [Sent::Frame(other, test, bytes), Sent::Frame(asker, Frame::Absent { .. }, _)]
@@ -82,13 +82,13 @@
   for length in [0, 36, 936, 1236, 5000] {
     let named = fan_out_max(length);
     assert!(named >= 1);
-    let fan = Frame::FanOut {
+    let fan_out = Frame::FanOut {
       agents: vec![(peer(200), Digest(u64::MAX)); named],
       synced: Revision(u64::from(u32::MAX)),
       version: Version(u64::from(u32::MAX)),
     };
     let mut bytes = Vec::new();
-    fan.encode(&mut bytes);
+    fan_out.encode(&mut bytes);
     assert!(
       bytes.len() + length <= 1440 || named == 1,
       "{length}: {named}"
