--- a/src/datagram/agent/fan_out.rs
+++ b/src/datagram/agent/fan_out.rs
@@ -25,13 +25,13 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     for (agent, service) in agents {
-      if *agent == self.spread.address() {
+      if *agent == self.gossip.address() {
         self.take_caller_packet(now, packet, *service, out)?;
         continue;
       }
-      let frame = Frame::Try {
+      let frame = Frame::Test {
         balancer: packet.balancer,
-        complete: packet.complete,
+        synced: packet.synced,
         service: *service,
         version: packet.version,
       };
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -10,10 +10,10 @@
     config::Presence,
     counter::Counter,
     datagram::{
-      Change, Codec, Flow, Frame, Handover, Head, Load, News, Origin, Outbox, Patience, Settings,
-      Spread, Tuning, Upstream, Version, event,
+      Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Settings, Timeout,
+      Tuning, Update, Upstream, Version, event,
       frame::{Purpose, Role},
-      target::Born,
+      target::StartTime,
     },
   },
   serde_json::json,
@@ -44,7 +44,7 @@
   pub(super) balancer: SocketAddrV4,
   pub(super) bytes: &'a [u8],
   /// The revision up to which the balancer knows the target list.
-  pub(super) complete: Revision,
+  pub(super) synced: Revision,
   pub(super) head: Head,
   pub(super) purpose: Purpose,
   /// The version of the balancer's configuration.
@@ -58,7 +58,7 @@
   /// request in flight.
   pub(super) awaiting_request: BTreeSet<(Instant, Flow)>,
   /// The start time of the upstream's incarnation; none where the target list states none.
-  pub(super) born: Option<Born>,
+  pub(super) start_time: Option<StartTime>,
   /// The UDP port at which callers receive packets.
   pub(super) callers_port: u16,
   /// From when on new flows are refused since the data centre is closed; none while it is open.
@@ -68,7 +68,7 @@
   pub(super) counter: Arc<Counter>,
   pub(super) data_centre: String,
   /// Adaptive timeout from a flow's opening packet to its first request.
-  pub(super) first_request_timeout: Patience,
+  pub(super) first_request_timeout: Timeout,
   pub(super) flows: HashMap<Flow, FlowEntry>,
   pub(super) grants: Grants,
   /// The parts of the previous incarnation's handover that have come.
@@ -87,7 +87,7 @@
   pub(super) slots: Option<u16>,
   /// Whether the process is shutting down.
   pub(super) stopping: bool,
-  pub(super) spread: Spread,
+  pub(super) gossip: Gossip,
   /// Flow tests by their deadlines, the earliest first; some may have ended before.
   pub(super) tests: VecDeque<(Instant, Flow)>,
   pub(super) tuning: Tuning,
@@ -106,22 +106,22 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Spread::new(now, settings, false, incarnation, tuning);
+    let gossip = Gossip::new(now, settings, false, incarnation, tuning);
     let recovering = if settings.first_start {
       Duration::ZERO
     } else {
-      tuning.amnesia
+      tuning.flow_lifetime
     };
     Self {
       awaiting_request: BTreeSet::new(),
-      born: None,
+      start_time: None,
       callers_port: settings.callers.port(),
       closed_from: None,
       codec,
       cold: Cold::new(now, settings.first_start),
       counter,
       data_centre: settings.data_centre.clone(),
-      first_request_timeout: Patience::new(tuning.expected.0, tuning.expected.1),
+      first_request_timeout: Timeout::new(tuning.arrival_min, tuning.arrival_initial),
       flows: HashMap::new(),
       grants: Grants::default(),
       handover: Handover::default(),
@@ -133,7 +133,7 @@
       reported_load: Load::default(),
       slots: None,
       stopping: false,
-      spread,
+      gossip,
       tests: VecDeque::new(),
       tuning,
       upstream,
@@ -154,58 +154,58 @@
     out: &mut Outbox,
   ) -> Result<(), Code> {
     let (frame, packet) = Frame::decode(bytes)?;
-    if self.spread.is_new(from) {
+    if self.gossip.is_new(from) {
       // A balancer may buffer packets until it knows that this incarnation has started.
       let load = self.load(now);
-      self.spread.greet(now, Role::Agent(load), from, out);
+      self.gossip.send_status(now, Role::Agent(load), from, out);
     }
     match frame {
-      Frame::Ask {
-        complete,
+      Frame::Query {
+        synced,
         flows,
         services,
-      } => self.answer_query(now, from, &flows, &services, complete, out),
+      } => self.answer_query(now, from, &flows, &services, synced, out),
       Frame::Backlog { flows, service } => self.set_backlog(now, from, flows, service),
       Frame::Carry {
-        complete,
+        synced,
         purpose,
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, purpose, complete, version)?;
+        let packet = self.read_caller_packet(from, packet, purpose, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
-      Frame::Fan {
+      Frame::FanOut {
         agents,
-        complete,
+        synced,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, Purpose::Test, complete, version)?;
+        let packet = self.read_caller_packet(from, packet, Purpose::Test, synced, version)?;
         self.fan_out(now, &packet, &agents, out)
       }
-      Frame::Try {
+      Frame::Test {
         balancer,
-        complete,
+        synced,
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, complete, version)?;
+        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
         self.take_handover(now, from, flows, part, parts);
         Ok(())
       }
-      Frame::Held { flows } => {
+      Frame::Restore { flows } => {
         self.restore_flows(now, from, &flows);
         Ok(())
       }
-      Frame::News(news) => {
-        self.take_news(now, Origin::Peer(from), news, out);
+      Frame::Update(update) => {
+        self.take_update(now, Origin::Peer(from), update, out);
         Ok(())
       }
       Frame::Status(status) => {
-        self.spread.status(now, from, &status);
+        self.gossip.handle_status(now, from, &status);
         Ok(())
       }
       _ => Err(Code::FrameWrongTarget),
@@ -218,13 +218,13 @@
     balancer: SocketAddrV4,
     bytes: &'a [u8],
     purpose: Purpose,
-    complete: Revision,
+    synced: Revision,
     version: Version,
   ) -> Result<CallerPacket<'a>, Code> {
     Ok(CallerPacket {
       balancer,
       bytes,
-      complete,
+      synced,
       head: self.codec.read_from_caller(bytes)?,
       purpose,
       version,
@@ -232,12 +232,18 @@
   }
 
   /// Applies an update of the platform's records.
-  pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    let first = self.spread.catalog().complete() == Revision::default();
-    let change = self.spread.news(now, origin, news, out);
+  pub(super) fn take_update(
+    &mut self,
+    now: Instant,
+    origin: Origin,
+    update: Update,
+    out: &mut Outbox,
+  ) {
+    let first = self.gossip.catalog().synced() == Revision::default();
+    let change = self.gossip.update(now, origin, update, out);
     if first {
       // The first target list may have been written before a suspected restart.
-      self.cold.extend_suspicion(self.spread.catalog().complete());
+      self.cold.extend_suspicion(self.gossip.catalog().synced());
     }
     self.apply_change(now, &change);
   }
@@ -249,22 +255,22 @@
       return;
     }
     self.update_admission(now);
-    let Some((id, entry)) = self.spread.catalog().at(self.upstream.address) else {
+    let Some((id, entry)) = self.gossip.catalog().at(self.upstream.address) else {
       return;
     };
     self.slots = Some(entry.target.slots.max(1));
-    let born = entry.target.born;
+    let start_time = entry.target.start_time;
     let leaving = entry.target.presence == Presence::Leaving
-      || entry.gone.is_some()
+      || entry.removed.is_some()
       || entry.target.service != self.upstream.service;
     let leaving = leaving || self.stopping;
     if leaving != self.leaving {
       log::info!(target:% = id, leaving = leaving; "agent: upstream started or stopped draining.");
       self.leaving = leaving;
     }
-    let previous = self.born;
-    self.born = born.max(previous);
-    if previous.is_some() && self.born > previous {
+    let previous = self.start_time;
+    self.start_time = start_time.max(previous);
+    if previous.is_some() && self.start_time > previous {
       self.upstream_restarted();
     }
   }
@@ -314,16 +320,16 @@
     let before = self.reported_load;
     let changed =
       load.work != before.work || load.down != before.down || load.is_full(0) != before.is_full(0);
-    if now >= self.spread.deadline() || (changed && now >= self.last_report + self.tuning.report) {
+    if now >= self.gossip.deadline() || (changed && now >= self.last_report + self.tuning.report) {
       self.last_report = now;
       self.reported_load = load;
-      self.spread.tell_now(now, role, out);
+      self.gossip.broadcast_status(now, role, out);
     }
   }
 
   /// Removes flows that were idle for too long, and stops counting requests that are overdue.
   pub(super) fn expire(&mut self, now: Instant) {
-    let idle = self.spread.idle();
+    let idle = self.gossip.idle();
     let work = &mut self.work;
     self.flows.retain(|_, entry| {
       let idle_for = now.saturating_duration_since(entry.last_packet);
@@ -342,7 +348,7 @@
       }
       idle_for < ttl
     });
-    self.spread.expire(now);
+    self.gossip.expire(now);
   }
 
   /// Whether the number of requests in flight, or whether the upstream has room for new flows, has
@@ -363,7 +369,7 @@
     let test = self.tests.front().map(|(deadline, _)| *deadline);
     let grant = self.grants.deadline();
     let request = self.awaiting_request.first().map(|(deadline, _)| *deadline);
-    let status = self.spread.deadline();
+    let status = self.gossip.deadline();
     let report = (self.load_changed()).then_some(self.last_report + self.tuning.report);
     let room = self.cold.deadline(self.last_run, self.warmup());
     [grant, report, request, room, test]
@@ -382,7 +388,7 @@
       "leaving": self.leaving,
       "load": self.load(now),
       "slots": self.slots,
-      "spread": self.spread.dump(now),
+      "spread": self.gossip.dump(now),
       "upstream": self.upstream,
     })
   }
@@ -405,12 +411,12 @@
 
   /// Whether the upstream has answered all requests: an answer that comes after the end is lost
   /// until it is retransmitted.
-  fn is_quiet(&self) -> bool {
+  fn is_idle(&self) -> bool {
     self.work.in_flight() == 0
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    self.take_news(now, origin, news, out);
+  fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox) {
+    self.take_update(now, origin, update, out);
   }
 
   fn packet(&mut self, now: Instant, packet: &mut [u8], out: &mut Outbox) -> Result<(), Code> {
@@ -419,8 +425,8 @@
     taken
   }
 
-  fn spread(&mut self) -> &mut Spread {
-    &mut self.spread
+  fn gossip(&mut self) -> &mut Gossip {
+    &mut self.gossip
   }
 
   fn stop(&mut self, now: Instant, _: &mut Outbox) {
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -8,7 +8,7 @@
     machine::Machine,
     work::Work,
   },
-  crate::datagram::{Codec, Flow, Handover, Outbox, handover::Passed},
+  crate::datagram::{Codec, Flow, Handover, Outbox, handover::FlowRecord},
   std::{collections::BTreeSet, net::SocketAddrV4, time::Instant},
 };
 
@@ -27,7 +27,7 @@
     &mut self,
     now: Instant,
     from: SocketAddrV4,
-    flows: Vec<Passed>,
+    flows: Vec<FlowRecord>,
     part: u16,
     parts: u16,
   ) {
@@ -36,7 +36,7 @@
       let entry = self.flows.entry(record.flow).or_insert_with(fresh);
       entry.restore(record);
     }
-    if now < self.recovering_until && self.handover.take(now, part, parts, flows) {
+    if now < self.recovering_until && self.handover.add_part(now, part, parts, flows) {
       log::info!(
         from:% = from, flows = self.flows.len();
         "agent: received all flows of the previous incarnation."
@@ -47,7 +47,7 @@
 
   /// Begins a graceful shutdown: new flows are refused, known flows are served until the end.
   pub(super) fn begin_shutdown(&mut self, now: Instant) {
-    self.spread.stop(now);
+    self.gossip.stop(now);
     self.leaving = true;
     self.stopping = true;
   }
@@ -61,8 +61,8 @@
     let handover = Handover::new(records.collect());
     let is_tested = |entry: &FlowEntry| matches!(entry.state, FlowState::Tested { .. });
     let whole = now >= self.recovering_until && !self.flows.values().any(is_tested);
-    let mut balancers = BTreeSet::from_iter(self.spread.balancers(now));
-    if !self.spread.knows_all() {
+    let mut balancers = BTreeSet::from_iter(self.gossip.balancers(now));
+    if !self.gossip.is_full_mesh() {
       // Balancers that exchange no heartbeats with this agent, but forward packets to it.
       balancers.extend(self.flows.values().filter_map(|entry| entry.balancer));
     }
--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -79,12 +79,13 @@
 impl Targets {
   /// The cost of a new flow at a target, in milliseconds; none if the target accepts no new flows.
   pub(super) fn cost(&self, now: Instant, target: &TargetState, medians: Medians) -> Option<f64> {
-    if target.presence == Presence::Leaving || self.closures.is_closed(now, &target.data_centre) {
+    if target.presence == Presence::Leaving || self.evacuations.is_closed(now, &target.data_centre)
+    {
       return None;
     }
     let mut cost = 0.0;
-    if let Some(gone) = target.gone {
-      if now.saturating_duration_since(gone) >= REMOVAL_GRACE {
+    if let Some(removed) = target.removed {
+      if now.saturating_duration_since(removed) >= REMOVAL_GRACE {
         return None;
       }
       cost += 4.0 * UNAVAILABLE_MS;
@@ -93,7 +94,7 @@
     if target.load.down || target.open_failed.is_some_and(is_recent) {
       cost += 2.0 * UNAVAILABLE_MS;
     }
-    if target.stopping || !self.is_heard(now, target) {
+    if target.stopping || !self.is_alive(now, target) {
       cost += UNAVAILABLE_MS;
     }
     if is_fast_failing(target, medians) {
@@ -101,7 +102,7 @@
     }
     cost += failure_cost_ms(target, medians);
     if target.data_centre != self.data_centre {
-      let (per_request, per_kilobyte) = self.tuning.crossing;
+      let (per_request, per_kilobyte) = (self.tuning.crossing_ms, self.tuning.crossing_ms_per_kb);
       cost += per_request + per_kilobyte * f64::from(target.load.bytes) / 1024.0;
     }
     let work = f64::from(target.load.work) + f64::from(target.pending);
@@ -111,7 +112,7 @@
   /// The medians of the targets of a service.
   pub(super) fn medians(&self, service: &Service) -> Medians {
     let known = self.by_agent.values();
-    let known = known.filter(|target| target.service == *service && target.gone.is_none());
+    let known = known.filter(|target| target.service == *service && target.removed.is_none());
     let known = known.filter(|target| target.load.service_ms > 0);
     let loads = known.map(|target| (target.load.service_ms, target.load.failed));
     let (mut times, mut failed): (SmallVec<[u16; 64]>, SmallVec<[u8; 64]>) = loads.unzip();
--- a/src/datagram/balancer/frames.rs
+++ b/src/datagram/balancer/frames.rs
@@ -5,7 +5,7 @@
   crate::{
     Code,
     datagram::{
-      Change, Codec, Frame, News, Origin, Outbox,
+      Change, Codec, Frame, Origin, Outbox, Update,
       frame::{Role, Status},
     },
   },
@@ -23,39 +23,39 @@
     self.note_stall(now);
     let (frame, packet) = Frame::decode(bytes)?;
     match frame {
-      Frame::AskPast => self.send_history(now, from, out),
+      Frame::HistoryRequest => self.send_history(now, from, out),
       Frame::Absent {
         flows, lost: true, ..
       } => self.reset_lost_flows(now, from, &flows, packet, out),
       Frame::Absent { flows, known, .. } => {
         self.record_denials(now, from, &flows, &known, packet, out);
       }
-      Frame::Ask { .. }
+      Frame::Query { .. }
       | Frame::Backlog { .. }
       | Frame::Carry { .. }
-      | Frame::Fan { .. }
-      | Frame::Held { .. }
-      | Frame::Try { .. } => return Err(Code::FrameWrongTarget),
+      | Frame::FanOut { .. }
+      | Frame::Restore { .. }
+      | Frame::Test { .. } => return Err(Code::FrameWrongTarget),
       Frame::Found { flow, service } => self.complete_search(now, from, flow, service, out),
       Frame::Grant(load) => self.accept_grant(now, from, load, out),
       Frame::Handover { flows, part, parts } => {
         let handover = self.handovers.entry(from).or_default();
-        handover.take(now, part, parts, flows);
+        handover.add_part(now, part, parts, flows);
         self.restarts.begin(now, from);
       }
-      Frame::Past {
+      Frame::History {
         known,
-        led,
+        former_backends,
         part,
         parts,
-        past,
+        tombstones,
       } => {
-        self.targets.remember(now, &past);
-        self.spread.remember(now, &led);
+        self.targets.import(now, &tombstones);
+        self.gossip.import(now, &former_backends);
         self.history.add_part(now, from, part, parts, known);
         self.conclude_denied(now, out);
       }
-      Frame::News(news) => self.take_news(now, Origin::Peer(from), news, out),
+      Frame::Update(update) => self.take_update(now, Origin::Peer(from), update, out),
       Frame::Opened(flow, load) => self.complete_opening(now, from, flow, load),
       Frame::Refused(flow, refusal, load) => {
         self.retry_refused(now, from, flow, refusal, load, out);
@@ -73,7 +73,7 @@
     status: &Status,
     out: &mut Outbox,
   ) {
-    self.spread.status(now, from, status);
+    self.gossip.handle_status(now, from, status);
     let Role::Agent(load) = status.role else {
       self.request_history(now, from, out);
       return;
@@ -88,20 +88,30 @@
     }
   }
 
-  pub(super) fn take_news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
-    let change = self.spread.news(now, origin, news, out);
+  pub(super) fn take_update(
+    &mut self,
+    now: Instant,
+    origin: Origin,
+    update: Update,
+    out: &mut Outbox,
+  ) {
+    let change = self.gossip.update(now, origin, update, out);
     self.apply_change(now, &change);
     self.conclude_denied(now, out);
   }
 
   pub(super) fn apply_change(&mut self, now: Instant, change: &Change) {
-    if change.closures {
-      let listed = self.spread.catalog().closures();
-      let from = now + self.spread.closing_left().mul_f64(self.evacuation_fraction);
-      self.targets.closures.update(listed, from);
+    if change.evacuations {
+      let listed = self.gossip.catalog().evacuations();
+      let from = now
+        + self
+          .gossip
+          .evacuation_left()
+          .mul_f64(self.evacuation_fraction);
+      self.targets.evacuations.update(listed, from);
     }
     if !change.is_empty() {
-      self.targets.update(self.spread.catalog());
+      self.targets.update(self.gossip.catalog());
     }
     if change.configuration {
       self.update_lowest_priorities();
@@ -110,12 +120,12 @@
 
   fn update_lowest_priorities(&mut self) {
     self.lowest_priorities.clear();
-    let configuration = self.spread.catalog().configuration();
+    let configuration = self.gossip.catalog().configuration();
     for route in configuration
       .into_iter()
       .flat_map(|configuration| configuration.routes.values())
     {
-      for backend in route.backends.taking() {
+      for backend in route.backends.weighted() {
         let lowest = self
           .lowest_priorities
           .entry(backend.service.clone())
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -15,7 +15,7 @@
     Code,
     counter::Counter,
     datagram::{
-      Codec, Flow, Handover, News, Origin, Outbox, Patience, Service, Settings, Spread, Tuning,
+      Codec, Flow, Gossip, Handover, Origin, Outbox, Service, Settings, Timeout, Tuning, Update,
       event, frame::Role,
     },
   },
@@ -65,7 +65,7 @@
   pub(super) last_tested: HashMap<Flow, Instant>,
   /// The lowest priority among each service's routes; 0 is the highest priority.
   pub(super) lowest_priorities: HashMap<Service, u8>,
-  pub(super) open_timeout: Patience,
+  pub(super) open_timeout: Timeout,
   /// When opening packets that are not answered time out.
   pub(super) opening_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) port: u16,
@@ -75,7 +75,7 @@
   /// When searches that are not answered time out.
   pub(super) search_deadlines: BTreeSet<(Instant, Flow)>,
   pub(super) searches: HashMap<Flow, Search>,
-  pub(super) spread: Spread,
+  pub(super) gossip: Gossip,
   /// Until when opening packets may be older than they seem, after a stall of this process.
   pub(super) stale_until: Instant,
   pub(super) targets: Targets,
@@ -93,7 +93,7 @@
     incarnation: u32,
     counter: Arc<Counter>,
   ) -> Self {
-    let spread = Spread::new(now, settings, true, incarnation, tuning);
+    let gossip = Gossip::new(now, settings, true, incarnation, tuning);
     Self {
       announced: Announced::default(),
       buffered_bytes: 0,
@@ -109,7 +109,7 @@
       last_expiry: now,
       last_tested: HashMap::new(),
       lowest_priorities: HashMap::new(),
-      open_timeout: Patience::new(tuning.open_wait, tuning.open_wait),
+      open_timeout: Timeout::new(tuning.open_wait, tuning.open_wait),
       opening_deadlines: BTreeSet::new(),
       port: settings.callers.port(),
       queries: Queries::new(now, settings.link),
@@ -117,7 +117,7 @@
       restarts: Restarts::default(),
       search_deadlines: BTreeSet::new(),
       searches: HashMap::new(),
-      spread,
+      gossip,
       stale_until: now,
       targets: Targets::new(
         now,
@@ -139,7 +139,7 @@
     if now >= self.stale_until {
       log::info!(delay:? = delay; "balancer: process was paused.");
     }
-    self.stale_until = now + C::PATIENCE;
+    self.stale_until = now + C::CONNECT_TIMEOUT;
   }
 
   /// Accounts for the bytes that an event has added to `out`, which held `before` bytes.
@@ -153,7 +153,7 @@
       .first()
       .map(|(deadline, _)| *deadline);
     let search = self.search_deadlines.first().map(|(deadline, _)| *deadline);
-    let status = self.spread.deadline();
+    let status = self.gossip.deadline();
     let queued = self.queue.deadline();
     let egress = self.egress.deadline();
     let restart = self.restarts.deadline();
@@ -192,20 +192,20 @@
     }
     self.place_queued(now, out);
     self.poll_restarts(now, out);
-    let complete = self.spread.catalog().complete();
-    self.queries.send(now, complete, out);
+    let synced = self.gossip.catalog().synced();
+    self.queries.send(now, synced, out);
     if now >= self.last_expiry + EXPIRY_INTERVAL {
       self.last_expiry = now;
       self.expire(now);
     }
-    if now >= self.spread.deadline() {
+    if now >= self.gossip.deadline() {
       let agents = self.targets.agents();
-      self.spread.tick(now, Role::Balancer, &agents, out);
+      self.gossip.tick(now, Role::Balancer, &agents, out);
     }
   }
 
   pub(super) fn expire(&mut self, now: Instant) {
-    let idle = self.spread.idle();
+    let idle = self.gossip.idle();
     let dead_ttl = self.tuning.dead;
     self.flows.retain(|_, place| {
       let ttl = if matches!(place.state, State::Dead) {
@@ -220,10 +220,10 @@
     self
       .handovers
       .retain(|_, handover| handover.age(now) < HANDOVER_TTL);
-    self.spread.expire(now);
-    self.history.expire(now, self.tuning.amnesia);
+    self.gossip.expire(now);
+    self.history.expire(now, self.tuning.flow_lifetime);
     self.targets.expire(now);
-    self.targets.update(self.spread.catalog());
+    self.targets.update(self.gossip.catalog());
   }
 }
 
@@ -242,7 +242,7 @@
       "parked": self.queue.total(),
       "waiting": self.egress.len(),
       "searches": self.searches.len(),
-      "spread": self.spread.dump(now),
+      "spread": self.gossip.dump(now),
       "targets": self.targets.dump(now),
     })
   }
@@ -264,13 +264,13 @@
   }
 
   /// Always false: packets arrive until the fabric routes them to other balancers.
-  fn is_quiet(&self) -> bool {
+  fn is_idle(&self) -> bool {
     false
   }
 
-  fn news(&mut self, now: Instant, origin: Origin, news: News, out: &mut Outbox) {
+  fn update(&mut self, now: Instant, origin: Origin, update: Update, out: &mut Outbox) {
     let before = out.size();
-    self.take_news(now, origin, news, out);
+    self.take_update(now, origin, update, out);
     self.charge_link(now, before, out);
   }
 
@@ -282,12 +282,12 @@
     result
   }
 
-  fn spread(&mut self) -> &mut Spread {
-    &mut self.spread
+  fn gossip(&mut self) -> &mut Gossip {
+    &mut self.gossip
   }
 
   fn stop(&mut self, now: Instant, _: &mut Outbox) {
-    self.spread.stop(now);
+    self.gossip.stop(now);
   }
 
   fn tick(&mut self, now: Instant, out: &mut Outbox) {
--- a/src/datagram/balancer/queries.rs
+++ b/src/datagram/balancer/queries.rs
@@ -1,7 +1,7 @@
 use {
   crate::{
     Revision,
-    datagram::{Flow, Frame, Outbox, Rate, frame::ASKED_MAX, service::Digest},
+    datagram::{Flow, Frame, Outbox, Rate, frame::QUERY_MAX, service::Digest},
   },
   smallvec::SmallVec,
   std::{
@@ -70,18 +70,18 @@
     (!self.pending.is_empty()).then_some(self.next_send)
   }
 
-  /// Sends all queries if the rate allows; `complete` is the revision up to which this balancer
+  /// Sends all queries if the rate allows; `synced` is the revision up to which this balancer
   /// knows the target list.
-  pub fn send(&mut self, now: Instant, complete: Revision, out: &mut Outbox) {
+  pub fn send(&mut self, now: Instant, synced: Revision, out: &mut Outbox) {
     if self.deadline().is_none_or(|deadline| deadline > now) {
       return;
     }
     for ((agent, services), flows) in std::mem::take(&mut self.pending) {
-      for flows in flows.chunks(ASKED_MAX) {
+      for flows in flows.chunks(QUERY_MAX) {
         self.charge(now);
         let flows = flows.to_vec();
-        let frame = Frame::Ask {
-          complete,
+        let frame = Frame::Query {
+          synced,
           flows,
           services: services.to_vec(),
         };
--- a/src/datagram/balancer/remembering.rs
+++ b/src/datagram/balancer/remembering.rs
@@ -3,7 +3,7 @@
 
 use {
   super::machine::Machine,
-  crate::datagram::{Codec, Frame, Outbox, frame::PAST_MAX},
+  crate::datagram::{Codec, Frame, Outbox, frame::TOMBSTONES_MAX},
   std::{net::SocketAddrV4, time::Instant},
 };
 
@@ -11,7 +11,7 @@
   /// Requests a balancer's history, unless it is known or the request was sent recently.
   pub(super) fn request_history(&mut self, now: Instant, balancer: SocketAddrV4, out: &mut Outbox) {
     if self.history.take_due(now, balancer) {
-      out.frame(balancer, &Frame::AskPast, &[]);
+      out.frame(balancer, &Frame::HistoryRequest, &[]);
     }
   }
 
@@ -20,26 +20,36 @@
     if self.history.is_known() || self.denied.is_empty() {
       return;
     }
-    for balancer in self.spread.present(now).collect::<Vec<_>>() {
+    for balancer in self.gossip.maybe_alive(now).collect::<Vec<_>>() {
       self.request_history(now, balancer, out);
     }
   }
 
   /// Sends the targets that were removed, and the services that addresses were routed to.
   pub(super) fn send_history(&self, now: Instant, to: SocketAddrV4, out: &mut Outbox) {
-    let past = self.targets.past(now, self.spread.catalog());
+    let tombstones = self.targets.tombstones(now, self.gossip.catalog());
     let known = self.history.is_known();
-    let led = self.spread.led(now);
-    let parts = past.len().max(led.len()).div_ceil(PAST_MAX).max(1);
+    let former_backends = self.gossip.former_backends(now);
+    let parts = tombstones
+      .len()
+      .max(former_backends.len())
+      .div_ceil(TOMBSTONES_MAX)
+      .max(1);
     for part in 0..parts {
-      let named = past.iter().skip(part * PAST_MAX).take(PAST_MAX);
-      let led = led.iter().skip(part * PAST_MAX).take(PAST_MAX);
-      let frame = Frame::Past {
+      let tombstones_part = tombstones
+        .iter()
+        .skip(part * TOMBSTONES_MAX)
+        .take(TOMBSTONES_MAX);
+      let former_backends_part = former_backends
+        .iter()
+        .skip(part * TOMBSTONES_MAX)
+        .take(TOMBSTONES_MAX);
+      let frame = Frame::History {
         known,
-        led: led.cloned().collect(),
+        former_backends: former_backends_part.cloned().collect(),
         part: part as u16,
         parts: parts as u16,
-        past: named.cloned().collect(),
+        tombstones: tombstones_part.cloned().collect(),
       };
       out.frame(to, &frame, &[]);
     }
@@ -52,7 +62,7 @@
   }
 
   pub(super) fn is_history_complete(&self, now: Instant) -> bool {
-    self.history.is_complete(now, self.spread.present(now))
+    self.history.is_complete(now, self.gossip.maybe_alive(now))
   }
 
   /// Continues the searches for flows that all queried agents have denied, once the history is
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -24,11 +24,11 @@
     let handover = self.handovers.remove(&agent);
     log::info!(
       agent:% = agent, flows = known.len(),
-      handover_complete = handover.as_ref().is_some_and(|handover| handover.is_whole_at(now));
+      handover_complete = handover.as_ref().is_some_and(|handover| handover.is_complete_at(now));
       "balancer: agent has restarted."
     );
     for part in known.chunks(FLOWS_PER_FRAME) {
-      let frame = Frame::Held {
+      let frame = Frame::Restore {
         flows: part.to_vec(),
       };
       out.frame(agent, &frame, &[]);
@@ -52,7 +52,7 @@
       if self.egress.is_paced(&head) && self.egress.push(head, &packet) {
         continue;
       }
-      if self.spread.catalog().route(&head.flow.route).is_some() {
+      if self.gossip.catalog().route(&head.flow.route).is_some() {
         self.forward(now, &head, &packet, out);
       }
     }
@@ -61,7 +61,7 @@
   /// Sends a status to agents that packets are buffered for, and ends restarts that have timed out.
   pub(super) fn poll_restarts(&mut self, now: Instant, out: &mut Outbox) {
     for agent in self.restarts.take_due(now) {
-      self.spread.greet(now, Role::Balancer, agent, out);
+      self.gossip.send_status(now, Role::Balancer, agent, out);
     }
     for agent in self.restarts.timed_out(now) {
       self.release_buffered(now, agent, out);
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -1,11 +1,11 @@
 use {
-  super::closures::Closures,
+  super::evacuations::Evacuations,
   crate::{
     config::Presence,
     datagram::{
       Agents, Catalog, Entry, Load, Service, Tuning, Warmup,
-      frame::{Gone, Status},
-      target::Born,
+      frame::{Status, Tombstone},
+      target::StartTime,
     },
   },
   serde_json::json,
@@ -24,12 +24,12 @@
 #[derive(Clone, Debug)]
 pub struct TargetState {
   /// Start time of the upstream's incarnation that is listed.
-  born: Option<Born>,
+  start_time: Option<StartTime>,
   /// The name of its data centre.
   pub data_centre: String,
   /// When it was removed from the target list.
-  pub gone: Option<Instant>,
-  heard: Option<Instant>,
+  pub removed: Option<Instant>,
+  last_heard: Option<Instant>,
   incarnation: Option<u32>,
   pub(super) load: Load,
   /// When a flow last failed to open there: it timed out, or the upstream was down, full or of
@@ -46,10 +46,10 @@
 impl TargetState {
   fn new(entry: &Entry) -> Self {
     Self {
-      born: entry.target.born,
+      start_time: entry.target.start_time,
       data_centre: String::new(),
-      gone: None,
-      heard: None,
+      removed: None,
+      last_heard: None,
       incarnation: None,
       load: Load::default(),
       open_failed: None,
@@ -62,18 +62,18 @@
   }
 
   fn updated(mut self, entry: &Entry) -> Self {
-    if self.gone.is_some() && entry.gone.is_none() {
+    if self.removed.is_some() && entry.removed.is_none() {
       self.open_failed = None;
     }
-    if entry.target.born > self.born {
+    if entry.target.start_time > self.start_time {
       // The load of the previous incarnation says nothing of this one.
       self.load = Load::default();
       self.pending = 0;
       self.open_failed = None;
     }
-    self.born = entry.target.born.max(self.born);
+    self.start_time = entry.target.start_time.max(self.start_time);
     self.data_centre.clone_from(&entry.target.data_centre);
-    self.gone = entry.gone;
+    self.removed = entry.removed;
     self.presence = entry.target.presence;
     self.service = entry.target.service.clone();
     self.slots = entry.target.slots.max(1);
@@ -95,9 +95,9 @@
 /// A target that was removed from the target list before this process saw it there.
 #[derive(Clone, Debug)]
 struct RemovedTarget {
-  gone: Instant,
+  removed: Instant,
   /// When a frame last came from its agent.
-  heard: Option<Instant>,
+  last_heard: Option<Instant>,
   /// When this process learnt of it.
   learnt: Instant,
   service: Service,
@@ -107,11 +107,11 @@
 #[derive(Debug)]
 pub struct Targets {
   pub(super) by_agent: BTreeMap<SocketAddrV4, TargetState>,
-  pub(super) closures: Closures,
+  pub(super) evacuations: Evacuations,
   pub(super) data_centre: String,
   /// Targets that were removed before this process saw them listed, as reported by agents and
   /// peers.
-  past: BTreeMap<SocketAddrV4, RemovedTarget>,
+  reported_removed: BTreeMap<SocketAddrV4, RemovedTarget>,
   port: u16,
   pub(super) services: BTreeMap<Service, Vec<SocketAddrV4>>,
   started: Instant,
@@ -128,9 +128,9 @@
   pub fn new(now: Instant, data_centre: String, port: u16, tuning: &Tuning) -> Self {
     Self {
       by_agent: BTreeMap::new(),
-      closures: Closures::default(),
+      evacuations: Evacuations::default(),
       data_centre,
-      past: BTreeMap::new(),
+      reported_removed: BTreeMap::new(),
       port,
       services: BTreeMap::new(),
       started: now,
@@ -144,11 +144,11 @@
   pub fn agents(&self) -> Agents {
     let mut agents = Agents::default();
     let listed = self.by_agent.iter();
-    for (agent, target) in listed.filter(|(_, target)| target.gone.is_none()) {
+    for (agent, target) in listed.filter(|(_, target)| target.removed.is_none()) {
       if target.data_centre == self.data_centre {
-        agents.near.push(*agent);
+        agents.local.push(*agent);
       } else {
-        agents.far.push(*agent);
+        agents.remote.push(*agent);
       }
     }
     agents
@@ -156,7 +156,7 @@
 
   /// How long ago an agent's last frame came, in milliseconds; none if none has come.
   pub fn age_ms(&self, now: Instant, agent: SocketAddrV4) -> Option<u64> {
-    let heard = self.by_agent.get(&agent)?.heard?;
+    let heard = self.by_agent.get(&agent)?.last_heard?;
     Some(now.saturating_duration_since(heard).as_millis() as u64)
   }
 
@@ -174,29 +174,30 @@
   }
 
   /// Whether an agent's target is known to be in this data centre.
-  pub fn is_near(&self, agent: SocketAddrV4) -> bool {
+  pub fn is_local(&self, agent: SocketAddrV4) -> bool {
     let target = self.by_agent.get(&agent);
     target.is_some_and(|target| target.data_centre == self.data_centre)
   }
 
   /// Those of the holders that are in this data centre.
   pub fn local_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
-    self.holders(services).filter(|agent| self.is_near(*agent))
+    self.holders(services).filter(|agent| self.is_local(*agent))
   }
 
   /// Whether an agent counts as lost: its target was removed from the target list, or is unknown, and
   /// the agent has sent nothing within the timeout.
   pub fn is_lost(&self, now: Instant, agent: SocketAddrV4) -> bool {
     // This process may not have run long enough to receive a status from every agent.
-    if now.saturating_duration_since(self.started) < self.tuning.silent {
+    if now.saturating_duration_since(self.started) < self.tuning.peer_timeout {
       return false;
     }
     let is_past_grace = |at: Instant| now.saturating_duration_since(at) >= REMOVAL_GRACE;
-    match (self.by_agent.get(&agent), self.past.get(&agent)) {
-      (Some(target), _) => target.gone.is_some_and(is_past_grace) && !self.is_heard(now, target),
-      (None, Some(past)) => {
-        let last = past.heard.unwrap_or(past.learnt);
-        is_past_grace(past.gone) && now.saturating_duration_since(last) >= self.tuning.silent
+    match (self.by_agent.get(&agent), self.reported_removed.get(&agent)) {
+      (Some(target), _) => target.removed.is_some_and(is_past_grace) && !self.is_alive(now, target),
+      (None, Some(removed_target)) => {
+        let last = removed_target.last_heard.unwrap_or(removed_target.learnt);
+        is_past_grace(removed_target.removed)
+          && now.saturating_duration_since(last) >= self.tuning.peer_timeout
       }
       (None, None) => !self.unlisted.contains_key(&agent),
     }
@@ -208,10 +209,10 @@
     &mut self,
     now: Instant,
     service: &Service,
-    past: &[(SocketAddrV4, u32)],
+    tombstones: &[(SocketAddrV4, u32)],
   ) -> bool {
     let mut is_new = false;
-    for (upstream, age_ms) in past {
+    for (upstream, age_ms) in tombstones {
       let agent = SocketAddrV4::new(*upstream.ip(), self.port);
       let agents = self.services.entry(service.clone()).or_default();
       if agents.contains(&agent) {
@@ -220,40 +221,47 @@
       let removed = now.checked_sub(Duration::from_millis((*age_ms).into()));
       agents.push(agent);
       self.unlisted.remove(&agent);
-      let past = RemovedTarget {
-        gone: removed.unwrap_or(now),
-        heard: None,
+      let removed_target = RemovedTarget {
+        removed: removed.unwrap_or(now),
+        last_heard: None,
         learnt: now,
         service: service.clone(),
       };
-      self.past.insert(agent, past);
+      self.reported_removed.insert(agent, removed_target);
       is_new = true;
     }
     is_new
   }
 
   /// Adds the removed targets that a peer has reported.
-  pub fn remember(&mut self, now: Instant, past: &[Gone]) {
-    for gone in past {
-      self.add_removed(now, &gone.service, &[(gone.address, gone.age_ms)]);
+  pub fn import(&mut self, now: Instant, tombstones: &[Tombstone]) {
+    for tombstone in tombstones {
+      self.add_removed(
+        now,
+        &tombstone.service,
+        &[(tombstone.address, tombstone.age_ms)],
+      );
     }
   }
 
   /// The targets that were removed within the lifetime of a flow.
-  pub fn past(&self, now: Instant, catalog: &Catalog) -> Vec<Gone> {
+  pub fn tombstones(&self, now: Instant, catalog: &Catalog) -> Vec<Tombstone> {
     let removed = catalog.entries().filter_map(|(_, entry)| {
-      Some(Gone {
+      Some(Tombstone {
         address: entry.target.address,
-        age_ms: age_ms(now, entry.gone?),
+        age_ms: age_ms(now, entry.removed?),
         service: entry.target.service.clone(),
       })
     });
-    let reported = self.past.iter().map(|(agent, past)| Gone {
-      // Only its IP address is used: agents listen on a fixed port.
-      address: *agent,
-      age_ms: age_ms(now, past.gone),
-      service: past.service.clone(),
-    });
+    let reported = self
+      .reported_removed
+      .iter()
+      .map(|(agent, removed_target)| Tombstone {
+        // Only its IP address is used: agents listen on a fixed port.
+        address: *agent,
+        age_ms: age_ms(now, removed_target.removed),
+        service: removed_target.service.clone(),
+      });
     removed.chain(reported).collect()
   }
 
@@ -261,7 +269,7 @@
   /// it.
   pub fn record_load(&mut self, now: Instant, agent: SocketAddrV4, load: Load) {
     if let Some(target) = self.by_agent.get_mut(&agent) {
-      target.heard = Some(now);
+      target.last_heard = Some(now);
       target.load = load;
       target.pending = 0;
     }
@@ -270,7 +278,7 @@
   /// Records that an agent refuses new flows because its data centre is closed.
   pub fn record_closed(&mut self, now: Instant, agent: SocketAddrV4) {
     if let Some(target) = self.by_agent.get(&agent) {
-      self.closures.record_refusal(now, &target.data_centre);
+      self.evacuations.record_refusal(now, &target.data_centre);
     }
   }
 
@@ -278,10 +286,10 @@
   pub fn all_closed(&self, now: Instant, service: &Service) -> bool {
     let listed = self.by_agent.values();
     let mut listed = listed
-      .filter(|target| target.service == *service && target.gone.is_none())
+      .filter(|target| target.service == *service && target.removed.is_none())
       .peekable();
     listed.peek().is_some()
-      && listed.all(|target| self.closures.is_closed(now, &target.data_centre))
+      && listed.all(|target| self.evacuations.is_closed(now, &target.data_centre))
   }
 
   /// Counts an opening packet that was sent to an agent, until it reports its load.
@@ -307,8 +315,8 @@
     load: Load,
   ) -> IncarnationChange {
     let Some(target) = self.by_agent.get_mut(&agent) else {
-      match self.past.get_mut(&agent) {
-        Some(past) => past.heard = Some(now),
+      match self.reported_removed.get_mut(&agent) {
+        Some(removed_target) => removed_target.last_heard = Some(now),
         None => {
           self.unlisted.insert(agent, now);
         }
@@ -344,8 +352,8 @@
         "agent": agent.to_string(),
         "cost_ms": self.cost(now, target, self.medians(&target.service)),
         "data_centre": target.data_centre,
-        "gone_ms": target.gone.map(age),
-        "heard_ms": target.heard.map(age),
+        "gone_ms": target.removed.map(age),
+        "heard_ms": target.last_heard.map(age),
         "load": target.load,
         "pending": target.pending,
         "presence": target.presence,
@@ -360,13 +368,13 @@
   /// Discards reported targets that were removed from the target list longer ago than a flow lives,
   /// and unlisted agents that have timed out.
   pub fn expire(&mut self, now: Instant) {
-    let (life, silent) = (self.tuning.amnesia, self.tuning.silent);
+    let (life, peer_timeout) = (self.tuning.flow_lifetime, self.tuning.peer_timeout);
     self
       .unlisted
-      .retain(|_, heard| now.saturating_duration_since(*heard) < silent);
+      .retain(|_, heard| now.saturating_duration_since(*heard) < peer_timeout);
     self
-      .past
-      .retain(|_, past| now.saturating_duration_since(past.gone) < life);
+      .reported_removed
+      .retain(|_, removed_target| now.saturating_duration_since(removed_target.removed) < life);
   }
 
   /// Replaces the targets by those of the catalog; what is known of their load is kept.
@@ -384,14 +392,17 @@
       if !agents.contains(&agent) {
         agents.push(agent);
       }
-      let precedence = |entry: &Entry| (entry.gone.is_none(), entry.revision);
+      let precedence = |entry: &Entry| (entry.removed.is_none(), entry.revision);
       let current = newest.entry(agent).or_insert(entry);
       if precedence(current) < precedence(entry) {
         *current = entry;
       }
     }
-    for (agent, past) in &self.past {
-      let agents = self.services.entry(past.service.clone()).or_default();
+    for (agent, removed_target) in &self.reported_removed {
+      let agents = self
+        .services
+        .entry(removed_target.service.clone())
+        .or_default();
       if !agents.contains(agent) {
         agents.push(*agent);
       }
@@ -405,10 +416,10 @@
     }
   }
 
-  pub(super) fn is_heard(&self, now: Instant, target: &TargetState) -> bool {
+  pub(super) fn is_alive(&self, now: Instant, target: &TargetState) -> bool {
     target
-      .heard
-      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.silent)
+      .last_heard
+      .is_some_and(|heard| now.saturating_duration_since(heard) < self.tuning.peer_timeout)
   }
 }
 
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -4,7 +4,7 @@
   super::machine::Machine,
   crate::datagram::{
     Codec, Flow, Frame, Outbox,
-    frame::{Purpose, fan_max},
+    frame::{Purpose, fan_out_max},
     service::Digest,
   },
   std::{
@@ -42,7 +42,7 @@
   /// tested at once when everyone has answered, or when most are unsure and the history is
   /// lost, as after a loss of power everywhere.
   pub(super) fn test_unsure(&mut self, now: Instant, flow: Flow, out: &mut Outbox) {
-    if self.spread.catalog().route(&flow.route).is_none() {
+    if self.gossip.catalog().route(&flow.route).is_none() {
       return;
     }
     let Some(mut search) = self.searches.remove(&flow) else {
@@ -81,18 +81,18 @@
       self.carry(*agent, Purpose::Test, *service, packet, out);
       return;
     }
-    for agents in agents.chunks(fan_max(packet.len())) {
+    for agents in agents.chunks(fan_out_max(packet.len())) {
       let mut local = agents
         .iter()
-        .filter(|(agent, _)| self.targets.is_near(*agent));
+        .filter(|(agent, _)| self.targets.is_local(*agent));
       let Some((relay, _)) = local.next().or(agents.first()) else {
         return;
       };
       self.queries.charge(now);
-      let frame = Frame::Fan {
+      let frame = Frame::FanOut {
         agents: agents.to_vec(),
-        complete: self.spread.catalog().complete(),
-        version: self.spread.catalog().version(),
+        synced: self.gossip.catalog().synced(),
+        version: self.gossip.catalog().version(),
       };
       out.frame(*relay, &frame, packet);
     }
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -40,7 +40,7 @@
       let lane = self.lane(&flow, service);
       self.queue.enqueue(now, &lane, (opening.first, flow));
       let place = Place {
-        agent: self.spread.address(),
+        agent: self.gossip.address(),
         last_packet: now,
         service: service.digest(),
         state: State::Queued(lane, opening),
@@ -52,7 +52,7 @@
       flow:% = flow, service:% = service, at:? = choice.map(|choice| choice.agent),
       wait_ms:? = choice.map(|choice| choice.wait_ms),
       age_ms:? = choice.and_then(|choice| self.targets.age_ms(now, choice.agent)),
-      version:% = self.spread.catalog().version(), queued = self.queue.len(service);
+      version:% = self.gossip.catalog().version(), queued = self.queue.len(service);
       "balancer: admission queue is full."
     );
     self.give_up(now, &flow, &opening, out);
@@ -63,7 +63,7 @@
   /// give up. Balancers don't divide this among themselves, since they may get very different
   /// shares of the callers.
   fn queue_capacity(&self, now: Instant, service: &Service) -> f64 {
-    self.targets.rate(now, service) * C::PATIENCE.as_secs_f64()
+    self.targets.rate(now, service) * C::CONNECT_TIMEOUT.as_secs_f64()
   }
 
   /// Removes a flow that no target has opened, as far as this balancer knows. It is reset unless it
@@ -72,7 +72,7 @@
   pub(super) fn give_up(&mut self, now: Instant, flow: &Flow, opening: &Opening, out: &mut Outbox) {
     let age = now.saturating_duration_since(opening.received);
     // The packet may have taken up to half of the interval to get here.
-    let may_be_missing = opening.attempt + 1 < C::COPIES && age >= C::GAP / 2;
+    let may_be_missing = opening.attempt + 1 < C::OPEN_ATTEMPTS && age >= C::INITIAL_RTO / 2;
     let is_reset = !opening.may_be_open && !may_be_missing;
     log::info!(
       flow:% = flow, age:? = age, attempt = opening.attempt, reset = is_reset;
@@ -116,14 +116,14 @@
     if self.is_in_time(now, newest, choice) {
       return Some(newest);
     }
-    let since = now.checked_sub(C::heard()).unwrap_or(now);
+    let since = now.checked_sub(C::last_attempt_until()).unwrap_or(now);
     self.queue.oldest_since(lane, since).or(Some(newest))
   }
 
   /// Whether a flow would be answered within its route's objective, counted from when the caller
   /// started.
   fn is_in_time(&self, now: Instant, (first, flow): Queued, choice: &Choice) -> bool {
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       return false;
     };
     let wait = Duration::from_secs_f64(choice.wait_ms / 1000.0);
@@ -145,7 +145,7 @@
     let Some(opening) = self.queued_opening(&flow).cloned() else {
       return false;
     };
-    let Some(route) = self.spread.catalog().route(&flow.route) else {
+    let Some(route) = self.gossip.catalog().route(&flow.route) else {
       self.give_up(now, &flow, &opening, out);
       return false;
     };
@@ -254,7 +254,7 @@
     let ttl = if self.targets.all_closed(now, &lane.service) {
       Duration::ZERO
     } else {
-      C::PATIENCE.saturating_sub(ANSWER_LATENCY_MAX)
+      C::CONNECT_TIMEOUT.saturating_sub(ANSWER_LATENCY_MAX)
     };
     while let Some(queued) = self.queue.oldest(lane) {
       let (first, flow) = queued;
--- a/src/datagram/node/resource.rs
+++ b/src/datagram/node/resource.rs
@@ -7,10 +7,10 @@
   std::collections::BTreeSet,
 };
 
-/// The services that a process has in force, as the resource API shows them.
+/// The services that are on a route or have a target or tombstone, as the resource API shows them.
 pub fn services(catalog: &Catalog) -> Value {
   let routed = catalog.configuration().into_iter();
-  let routed = routed.flat_map(|held| held.routes.values());
+  let routed = routed.flat_map(|configuration| configuration.routes.values());
   let routed = routed.flat_map(|route| route.backends.services());
   let listed = catalog.entries().map(|(_, entry)| &entry.target.service);
   let names = routed.chain(listed).collect::<BTreeSet<_>>();
@@ -18,7 +18,7 @@
   Value::Array(shown.collect())
 }
 
-/// One of them; none where no route leads to it and no target serves it.
+/// One service; none if it is on no route and has neither target nor tombstone.
 pub fn service(catalog: &Catalog, name: &str) -> Option<Value> {
   let services = services(catalog);
   let services = services.as_array()?.iter();
@@ -29,11 +29,11 @@
 fn resource(catalog: &Catalog, name: &Service) -> Value {
   let entries = catalog.entries();
   let entries = entries.filter(|(_, entry)| entry.target.service == *name);
-  let listed = entries.filter(|(_, entry)| entry.gone.is_none());
+  let listed = entries.filter(|(_, entry)| entry.removed.is_none());
   let listed = listed.collect::<Vec<_>>();
   let leaving = listed.iter().filter(|(_, entry)| is_leaving(entry)).count();
-  let closures = catalog.closures();
-  let is_closed = |entry: &Entry| closures.is_closed(&entry.target.data_centre);
+  let evacuations = catalog.evacuations();
+  let is_closed = |entry: &Entry| evacuations.is_closed(&entry.target.data_centre);
   let closed = listed.iter().filter(|(_, entry)| is_closed(entry)).count();
   let targets = listed.iter().map(|(id, entry)| {
     json!({
@@ -46,9 +46,12 @@
     })
   });
   let configuration = catalog.configuration();
-  let routes = configuration.into_iter().flat_map(|held| &held.routes);
-  let led = routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
-  let (routes, weights): (Vec<_>, Vec<_>) = led
+  let routes = configuration
+    .into_iter()
+    .flat_map(|configuration| &configuration.routes);
+  let matching =
+    routes.filter(|(_, route)| route.backends.services().any(|service| service == name));
+  let (routes, weights): (Vec<_>, Vec<_>) = matching
     .map(|(address, route)| (address.to_string(), route.backends.weight(name)))
     .unzip();
   json!({
@@ -65,7 +68,7 @@
       "weights": weights,
     },
     "generation": catalog.version(),
-    "revision": catalog.complete(),
+    "revision": catalog.synced(),
   })
 }
 
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -5,7 +5,7 @@
   crate::{
     plain::{Kind, Packet, Plain},
     support::{
-      Sent, Stepped, agent_of, configured, flow, found, listed, news, peer, unlisted, unsure,
+      Harness, Sent, agent_of, configured, flow, found, listed, peer, unlisted, unsure, update,
       upstream,
     },
   },
@@ -21,7 +21,7 @@
   std::time::Duration,
 };
 
-type Agent = Stepped<agent::Machine<Plain>>;
+type Agent = Harness<agent::Machine<Plain>>;
 
 const BALANCER: u8 = 1;
 
@@ -34,7 +34,7 @@
 fn carry(purpose: Purpose, service: &str, version: u64) -> Frame {
   let service = service.parse::<Service>().expect("a name");
   Frame::Carry {
-    complete: KNOWN,
+    synced: KNOWN,
     purpose,
     service: service.digest(),
     version: Version(version),
@@ -58,12 +58,12 @@
   (agent, flow)
 }
 
-fn absent(flow: Flow, complete: Revision) -> Frame {
+fn absent(flow: Flow, synced: Revision) -> Frame {
   Frame::Absent {
     flows: vec![flow],
     known: Known {
-      complete,
-      past: vec![],
+      synced,
+      tombstones: vec![],
     },
     lost: false,
   }
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_upstreams_answer_opens_the_flow_and_goes_to_the_caller() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::answer(flow, 100));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_flow_that_another_target_opened_is_absent() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_packet_of_another_service_never_reaches_the_upstream() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   for purpose in [Purpose::Deliver, Purpose::Open, Purpose::Test] {
     for packet in [
       Packet::open(flow(40_001, 1), 0),
@@ -113,7 +113,7 @@
 #[test]
 fn a_draining_upstream_gets_no_opening_packet() {
   let (mut agent, open) = with_flow(true);
-  agent.platform(news(
+  agent.platform(update(
     Some(2),
     3,
     &[listed(3, "up", 9, "a", Presence::Leaving)],
@@ -131,7 +131,7 @@
 #[test]
 fn an_upstream_that_was_removed_from_the_list_gets_no_opening_packet() {
   let (mut agent, _) = with_flow(true);
-  agent.platform(news(Some(2), 3, &[unlisted(3, "up")]));
+  agent.platform(update(Some(2), 3, &[unlisted(3, "up")]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
   assert_matches!(
     &sent[..],
@@ -142,7 +142,7 @@
 #[test]
 fn an_opening_packet_for_a_route_without_the_service_is_dropped() {
   let (mut agent, _) = with_flow(true);
-  agent.platform(news(Some(2), 3, &[configured(3, 2, &[])]));
+  agent.platform(update(Some(2), 3, &[configured(3, 2, &[])]));
   let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
   assert_eq!(sent, []);
 }
@@ -162,7 +162,7 @@
 
 #[test]
 fn an_agent_that_has_just_started_tests_a_flow_before_it_reports_absent() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let packet = Packet::data(flow, 5, 6);
   let sent = deliver(&mut agent, Purpose::Test, packet);
@@ -180,8 +180,8 @@
 fn query(agent: &mut Agent, flows: &[Flow], acknowledges: u32, service: &str) -> Vec<Sent> {
   let service = service.parse::<Service>().expect("a name");
   let flows = flows.iter().map(|flow| (*flow, acknowledges));
-  let frame = Frame::Ask {
-    complete: KNOWN,
+  let frame = Frame::Query {
+    synced: KNOWN,
     flows: flows.collect(),
     services: vec![service.digest()],
   };
@@ -196,8 +196,8 @@
   let absent = Frame::Absent {
     flows: vec![one, other],
     known: Known {
-      complete: KNOWN,
-      past: vec![],
+      synced: KNOWN,
+      tombstones: vec![],
     },
     lost: false,
   };
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_flow_whose_answer_was_acknowledged_is_found_before_its_first_packet() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -223,8 +223,8 @@
 /// The other targets that an agent names to a balancer that knows the target list up to revision
 /// `asker`.
 fn targets_named_to(agent: &mut Agent, asker: u64) -> Known {
-  let query = Frame::Ask {
-    complete: Revision(asker),
+  let query = Frame::Query {
+    synced: Revision(asker),
     flows: vec![(flow(40_009, 1), 6)],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
@@ -244,11 +244,11 @@
     listed(4, "up-11", 11, "a", Presence::Live),
     listed(5, "up-20", 20, "b", Presence::Live),
   ];
-  agent.platform(news(Some(2), 5, &records));
+  agent.platform(update(Some(2), 5, &records));
   let known = targets_named_to(&mut agent, 3);
-  assert_eq!(known.past, [(upstream(11), 0)]);
-  assert_eq!(known.complete, Revision(3));
-  assert_eq!(targets_named_to(&mut agent, 9).complete, Revision(5));
+  assert_eq!(known.tombstones, [(upstream(11), 0)]);
+  assert_eq!(known.synced, Revision(3));
+  assert_eq!(targets_named_to(&mut agent, 9).synced, Revision(5));
 }
 
 #[test]
@@ -258,14 +258,14 @@
     let id = format!("up-{host}");
     listed(host, &id, host as u8, "a", Presence::Live)
   });
-  agent.platform(news(Some(2), 99, &records.collect::<Vec<_>>()));
-  assert_eq!(targets_named_to(&mut agent, 2).complete, Revision(99));
-  assert_eq!(targets_named_to(&mut agent, 90).complete, Revision(90));
+  agent.platform(update(Some(2), 99, &records.collect::<Vec<_>>()));
+  assert_eq!(targets_named_to(&mut agent, 2).synced, Revision(99));
+  assert_eq!(targets_named_to(&mut agent, 90).synced, Revision(90));
 }
 
 #[test]
 fn an_agent_that_has_just_started_is_unsure_until_a_test_has_ended() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let sent = query(&mut agent, &[flow], 6, "a");
   assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_flow_whose_test_packet_is_not_bounced_is_found() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
   let sent = agent.pass(Duration::from_millis(100));
@@ -303,8 +303,8 @@
   let lost = Frame::Absent {
     flows: vec![flow],
     known: Known {
-      complete: KNOWN,
-      past: vec![],
+      synced: KNOWN,
+      tombstones: vec![],
     },
     lost: true,
   };
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_flow_whose_opening_packet_is_bounced_is_refused() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::open(flow, 0).returned());
@@ -347,7 +347,7 @@
   });
   let parts = parts.collect::<Vec<_>>();
   assert!(!parts.is_empty());
-  let mut next = Stepped::agent(9, "a", false);
+  let mut next = Harness::agent(9, "a", false);
   for part in &parts {
     next.frame(BALANCER, part, &[]);
   }
@@ -394,7 +394,7 @@
   let (mut before, flow) = with_flow(true);
   before.step(Event::Stop);
   let final_frames = before.step(Event::End);
-  let mut next = Stepped::agent(9, "a", false);
+  let mut next = Harness::agent(9, "a", false);
   deliver(&mut next, Purpose::Open, Packet::open(flow, 1));
   for sent in final_frames {
     if let Sent::Frame(_, frame @ Frame::Handover { .. }, _) = sent {
@@ -456,9 +456,9 @@
 
 #[test]
 fn an_agent_sends_its_status_at_the_first_frame_of_a_balancer() {
-  let mut agent = Stepped::agent(9, "a", false);
-  let query = Frame::Ask {
-    complete: KNOWN,
+  let mut agent = Harness::agent(9, "a", false);
+  let query = Frame::Query {
+    synced: KNOWN,
     flows: vec![],
     services: vec!["a".parse::<Service>().expect("a name").digest()],
   };
@@ -470,9 +470,9 @@
 fn an_agent_is_idle_once_its_upstream_has_answered() {
   let (mut agent, flow) = with_flow(true);
   agent.step(Event::Stop);
-  assert!(!agent.machine.is_quiet());
+  assert!(!agent.machine.is_idle());
   agent.packet(Packet::data(flow, 101, 12));
-  assert!(agent.machine.is_quiet());
+  assert!(agent.machine.is_idle());
 }
 
 #[test]
@@ -543,7 +543,7 @@
 
 #[test]
 fn a_flow_without_a_request_counts_as_work_for_a_limited_time() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   let opened = agent.now;
   deliver(&mut agent, Purpose::Open, Packet::open(flow(40_001, 1), 0));
   agent.packet(Packet::answer(flow(40_001, 1), 100));
@@ -559,7 +559,7 @@
 #[test]
 fn the_service_time_is_not_measured_before_the_slots_are_known() {
   // Without the target list, three concurrent requests take 60 ms.
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flows = [1, 2, 3].map(|port| flow(port, 1));
   for flow in flows {
     deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
@@ -626,7 +626,7 @@
 
 #[test]
 fn a_flow_that_fails_a_test_while_it_opens_no_longer_counts_as_work() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
@@ -671,7 +671,7 @@
 
 #[test]
 fn an_upstream_that_resets_all_requests_is_tried_with_one_flow_at_a_time() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=3 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     agent.packet(reset(flow(port, 1)));
@@ -694,7 +694,7 @@
 
 #[test]
 fn an_upstream_that_answers_between_resets_stays_in_use() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=20 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     let last = if port % 3 == 0 {
@@ -708,7 +708,7 @@
 
 #[test]
 fn an_upstream_that_never_answers_its_trial_is_tried_again() {
-  let mut agent = Stepped::agent(9, "a", true);
+  let mut agent = Harness::agent(9, "a", true);
   for port in 1..=3 {
     assert!(request_in_new_flow(&mut agent, flow(port, 1)));
     agent.packet(reset(flow(port, 1)));
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     plain::{Kind, Packet, Plain},
-    support::{Sent, Stepped, configured, flow, listed, news},
+    support::{Harness, Sent, configured, flow, listed, update},
   },
   fallwell::{
     Revision,
@@ -17,7 +17,7 @@
 };
 
 /// A balancer whose clock and input the test controls.
-pub type Balancer = Stepped<balancer::Machine<Plain>>;
+pub type Balancer = Harness<balancer::Machine<Plain>>;
 
 /// A balancer with two targets of service `a` and one of service `b`.
 pub fn balancer() -> Balancer {
@@ -26,7 +26,7 @@
 
 /// The same, on an instance with a link of this rate.
 pub fn balancer_with(link: Option<Rate>) -> Balancer {
-  let mut balancer = Stepped::balancer(1, link);
+  let mut balancer = Harness::balancer(1, link);
   let live = Presence::Live;
   let records = [
     configured(1, 1, &[(1, "a"), (2, "b")]),
@@ -34,7 +34,7 @@
     listed(3, "up-12", 12, "a", live),
     listed(4, "up-21", 21, "b", live),
   ];
-  balancer.platform(news(None, 4, &records));
+  balancer.platform(update(None, 4, &records));
   for host in [11, 12, 21] {
     feed_status(&mut balancer, host, 1, Load::default());
   }
@@ -45,7 +45,7 @@
 pub fn feed_status(balancer: &mut Balancer, host: u8, incarnation: u32, load: Load) -> Vec<Sent> {
   let status = Frame::Status(Status {
     balancers: vec![],
-    complete: Revision(1),
+    synced: Revision(1),
     confirmed_ms: None,
     data_centre: 0,
     incarnation,
@@ -60,7 +60,7 @@
 pub fn feed_balancer_status(balancer: &mut Balancer, host: u8) -> Vec<Sent> {
   let status = Status {
     balancers: vec![],
-    complete: Revision(4),
+    synced: Revision(4),
     confirmed_ms: Some(10),
     data_centre: 0,
     incarnation: 1,
@@ -91,7 +91,7 @@
 /// The hosts that were queried about `flow(1, 1)` alone.
 pub fn queried(sent: &[Sent]) -> Vec<u8> {
   let frames = sent.iter().filter_map(|sent| match sent {
-    Sent::Frame(to, Frame::Ask { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
+    Sent::Frame(to, Frame::Query { flows, .. }, _) if flows[..] == [(flow(1, 1), 100)] => {
       Some(to.ip().octets()[3])
     }
     _ => None,
@@ -107,12 +107,12 @@
 }
 
 /// A denial of `flow(1, 1)` by an agent that knows the target list up to a revision.
-pub fn absent(complete: u64) -> Frame {
+pub fn absent(synced: u64) -> Frame {
   Frame::Absent {
     flows: vec![flow(1, 1)],
     known: Known {
-      complete: Revision(complete),
-      past: vec![],
+      synced: Revision(synced),
+      tombstones: vec![],
     },
     lost: false,
   }
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -4,14 +4,14 @@
 use {
   crate::{
     plain::{Kind, Packet},
-    support::{Agent, Sent, Stepped, agent, agent_of, carry, digest, flow, peer},
+    support::{Agent, Harness, Sent, agent, agent_of, carry, digest, flow, peer},
   },
   assert_matches::assert_matches,
   fallwell::{
     Revision,
     datagram::{
       Frame, Machine, Version,
-      frame::{Purpose, fan_max},
+      frame::{Purpose, fan_out_max},
       service::Digest,
     },
   },
@@ -38,9 +38,9 @@
 }
 
 fn flow_test(service: &str) -> Frame {
-  Frame::Try {
+  Frame::Test {
     balancer: peer(BALANCER),
-    complete: Revision(2),
+    synced: Revision(2),
     service: digest(service),
     version: Version(1),
   }
@@ -50,12 +50,12 @@
 fn an_agent_forwards_a_test_and_runs_it_itself_where_it_is_named() {
   let mut agent = agent();
   let packet = Packet::data(flow(1, 1), 2, 101);
-  let fan = Frame::Fan {
+  let fan_out = Frame::FanOut {
     agents: vec![(peer(8), digest("b")), (peer(9), digest("a"))],
-    complete: Revision(2),
+    synced: Revision(2),
     version: Version(1),
   };
-  let sent = agent.frame(BALANCER, &fan, &packet.write());
+  let sent = agent.frame(BALANCER, &fan_out, &packet.write());
   assert_matches!(
     &sent[..],
     [Sent::Frame(other, test, bytes), Sent::Frame(asker, Frame::Absent { .. }, _)]
@@ -80,15 +80,15 @@
 #[test]
 fn a_frame_that_names_agents_fits_a_common_datagram_with_any_packet() {
   for length in [0, 36, 936, 1236, 5000] {
-    let named = fan_max(length);
+    let named = fan_out_max(length);
     assert!(named >= 1);
-    let fan = Frame::Fan {
+    let fan_out = Frame::FanOut {
       agents: vec![(peer(200), Digest(u64::MAX)); named],
-      complete: Revision(u64::from(u32::MAX)),
+      synced: Revision(u64::from(u32::MAX)),
       version: Version(u64::from(u32::MAX)),
     };
     let mut bytes = Vec::new();
-    fan.encode(&mut bytes);
+    fan_out.encode(&mut bytes);
     assert!(
       bytes.len() + length <= 1440 || named == 1,
       "{length}: {named}"
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_packet_of_another_service_is_not_tested() {
-  let mut agent = Stepped::agent(9, "a", false);
+  let mut agent = Harness::agent(9, "a", false);
   let packet = Packet::data(flow(1, 1), 2, 101);
   let sent = agent.frame(8, &flow_test("b"), &packet.write());
   assert!(!sent.contains(&Sent::Upstream(packet)), "{sent:?}");
@@ -119,7 +119,7 @@
 #[test]
 fn a_reset_of_an_open_flow_reaches_the_caller() {
   let mut agent = agent();
-  let restore = Frame::Held {
+  let restore = Frame::Restore {
     flows: vec![flow(1, 1)],
   };
   agent.frame(BALANCER, &restore, &[]);
--- a/tests/datagram/frame.rs
+++ b/tests/datagram/frame.rs
@@ -1,7 +1,7 @@
-//! Frames: what is written is read again, and anything else is refused by number.
+//! Encoding of frames: decoding restores them, and rejects anything else.
 
 use {
-  crate::support::{configured, flow, found, news},
+  crate::support::{configured, flow, found, update},
   fallwell::{
     Code, Revision,
     datagram::{Frame, Version, frame::Purpose, service::Digest},
@@ -10,9 +10,9 @@
 };
 
 #[test]
-fn a_frame_and_its_packet_are_read_again() {
+fn a_frame_and_its_packet_are_decoded() {
   let frame = Frame::Carry {
-    complete: Revision(4),
+    synced: Revision(4),
     purpose: Purpose::Test,
     service: Digest(77),
     version: Version(3),
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn every_cut_of_a_frame_is_refused() {
-  let frame = Frame::News(news(Some(4), 5, &[configured(5, 7, &[(1, "a")])]));
+fn truncated_frames_are_rejected() {
+  let frame = Frame::Update(update(Some(4), 5, &[configured(5, 7, &[(1, "a")])]));
   let mut bytes = Vec::new();
   frame.encode(&mut bytes);
   for length in 0..bytes.len() {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn another_version_is_refused() {
+fn another_version_is_rejected() {
   let mut bytes = Vec::new();
   found(flow(1, 1)).encode(&mut bytes);
   bytes[0] ^= 1;
@@ -43,7 +43,7 @@
 
 proptest! {
   #[test]
-  fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+  fn decoding_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
     let _ = Frame::decode(&bytes);
   }
 }
--- a/tests/datagram/logs.rs
+++ b/tests/datagram/logs.rs
@@ -1,7 +1,6 @@
-//! Logs are bounded: see `platform/tests` for what a process writes.
+//! Buffering of log lines; `platform/tests` covers the limit of what a process writes.
 
 #[test]
-fn lines_are_written_once_they_are_due() {
-  // Without a line nothing is due.
+fn without_buffered_lines_no_flush_is_due() {
   assert_eq!(fallwell::logging::due(), None);
 }
--- a/tests/datagram/main.rs
+++ b/tests/datagram/main.rs
@@ -1,21 +1,23 @@
-//! The machines of datagram services: each alone, and all together in a world without sockets.
+//! Tests of the machines of datagram services: each alone, and all together in a simulation without
+//! sockets.
 
 mod agent;
 mod allowance;
-mod amending;
 mod balancer;
 mod balancing;
 mod bundle;
 mod catalog;
-mod closures;
 mod cold;
+mod delta;
+mod evacuations;
 mod failing;
 mod fan_out;
 mod frame;
+mod gossip;
 mod grants;
 mod link;
-mod links;
 mod logs;
+mod overlay;
 mod plain;
 mod random_run;
 mod rate;
@@ -23,7 +25,6 @@
 mod restarting;
 mod searching;
 mod sharing;
-mod spread;
 mod support;
 mod upstream_restarted;
 mod waiting;
--- a/tests/datagram/links.rs
+++ b/tests/datagram/overlay.rs
@@ -1,9 +1,9 @@
-//! What a process tells others of itself grows with its data centre, not with the fleet.
+//! The number of statuses that a process sends grows with its data centre, not with the fleet.
 
 use {
   crate::{
-    balancing::{absent, feed_status as tell_load, is_reset, search},
-    support::{Stepped, flow, listed, news, settings, unlisted},
+    balancing::{absent, feed_status as feed_load, is_reset, search},
+    support::{Harness, flow, listed, settings, unlisted, update},
   },
   fallwell::{
     Revision,
@@ -21,7 +21,7 @@
   },
 };
 
-/// In how many data centres the processes stand.
+/// How many data centres the processes are in.
 const DATA_CENTRES: u32 = 6;
 
 fn address(number: u32) -> SocketAddrV4 {
@@ -31,7 +31,7 @@
 fn status(number: u32, role: Role) -> Frame {
   Frame::Status(Status {
     balancers: vec![],
-    complete: Revision(5),
+    synced: Revision(5),
     confirmed_ms: Some(10),
     data_centre: number % DATA_CENTRES,
     incarnation: 1,
@@ -61,8 +61,9 @@
   );
 }
 
-/// A balancer that has heard of so many others, and how many it tells of itself in three seconds.
-fn told(balancers: u32) -> usize {
+/// The number of processes that a balancer sends statuses to within three seconds while it hears
+/// from `balancers` others.
+fn receivers(balancers: u32) -> usize {
   let mut now = Instant::now();
   let counter = Arc::default();
   let settings = Settings {
@@ -78,9 +79,10 @@
     counter,
   );
   let mut out = Outbox::default();
-  let mut told = BTreeSet::new();
-  // It knows what the others know, so that the platform's word that they have heard counts.
-  let known = Event::News(Origin::Peer(address(1)), news(None, 5, &[]));
+  let mut receivers = BTreeSet::new();
+  // Its catalog is up to date, so that their confirmations of it count and it doesn't read the
+  // platform.
+  let known = Event::Update(Origin::Peer(address(1)), update(None, 5, &[]));
   machine.step(now, known, &mut out);
   for step in 0..80 {
     for number in 1..=balancers {
@@ -94,30 +96,30 @@
     }
     out.clear();
     machine.step(now, Event::Tick, &mut out);
-    // Each is told once, when it becomes known.
+    // In the first second each is sent one because it has just become known.
     if step >= 20 {
-      told.extend(out.datagrams().iter().map(|datagram| datagram.to));
+      receivers.extend(out.datagrams().iter().map(|datagram| datagram.to));
     }
     now += Duration::from_millis(50);
   }
-  told.len()
+  receivers.len()
 }
 
 #[test]
-fn few_processes_all_tell_each_other() {
-  assert_eq!(told(24), 24);
+fn a_small_fleet_is_a_full_mesh() {
+  assert_eq!(receivers(24), 24);
 }
 
 #[test]
-fn at_the_size_of_a_fleet_and_twice_that_no_more_are_told() {
-  let (once, twice) = (told(304), told(608));
+fn the_number_of_receivers_does_not_grow_with_the_fleet() {
+  let (once, twice) = (receivers(304), receivers(608));
   assert!((10..=60).contains(&once), "{once}");
   assert!((10..=60).contains(&twice), "{twice}");
 }
 
 #[test]
-fn the_word_of_the_platform_reaches_agents_that_do_not_keep_in_touch() {
-  let mut balancer = Stepped::balancer(1, None);
+fn updates_reach_agents_outside_the_overlay() {
+  let mut balancer = Harness::balancer(1, None);
   for number in 1..=100 {
     let frame = status(number, Role::Balancer);
     let mut bytes = Vec::new();
@@ -136,22 +138,22 @@
       Presence::Live,
     )
   });
-  balancer.platform(news(None, 20, &records));
+  balancer.platform(update(None, 20, &records));
   let records = [listed(21, "up-11", 11, "a", Presence::Leaving)];
-  let sent = balancer.platform(news(Some(20), 21, &records));
+  let sent = balancer.platform(update(Some(20), 21, &records));
   for host in [11, 12, 13] {
-    let heard = sent.iter().any(|sent| {
-      matches!(sent, crate::support::Sent::Frame(to, Frame::News(_), _)
+    let pushed = sent.iter().any(|sent| {
+      matches!(sent, crate::support::Sent::Frame(to, Frame::Update(_), _)
         if *to == crate::support::peer(host))
     });
-    assert!(heard, "{host}");
+    assert!(pushed, "{host}");
   }
 }
 
 #[test]
-fn the_first_start_of_all_is_read_by_its_seeds() {
+fn on_the_first_start_only_the_seeds_read() {
   let now = Instant::now();
-  let mut seed = Settings {
+  let mut settings = Settings {
     first_start: true,
     seeds: vec![address(1), address(2)],
     peers: address(1),
@@ -162,29 +164,29 @@
     let tuning = Tuning::default();
     let mut machine =
       balancer::Machine::new(now, settings, tuning, crate::plain::Plain, 1, counter);
-    machine.spread().is_reader(now + after)
+    machine.gossip().is_reader(now + after)
   };
-  assert!(reads(&seed, Duration::ZERO));
-  seed.peers = address(3);
-  assert!(!reads(&seed, Duration::from_secs(1)));
-  // Its seeds may be dead.
-  assert!(reads(&seed, Duration::from_secs(6)));
-  // One that is added later is told by others, or reads.
-  seed.first_start = false;
-  assert!(reads(&seed, Duration::ZERO));
+  assert!(reads(&settings, Duration::ZERO));
+  settings.peers = address(3);
+  assert!(!reads(&settings, Duration::from_secs(1)));
+  // Its seeds may be down.
+  assert!(reads(&settings, Duration::from_secs(6)));
+  // After the first start, a process doesn't wait for its seeds.
+  settings.first_start = false;
+  assert!(reads(&settings, Duration::ZERO));
 }
 
-/// How long the caller of a flow waits for its reset, in milliseconds, where one agent that may have the
-/// flow says nothing and its target has left the list, and so many other balancers are heard of.
+/// The time until a flow of a removed target is reset, in milliseconds, if one agent that may own
+/// it doesn't answer and the balancer has heard from `balancers` others.
 fn reset_after(balancers: u32) -> u64 {
   let mut balancer = crate::balancing::balancer();
   let up = [listed(5, "up-13", 13, "a", Presence::Live)];
-  balancer.platform(news(Some(4), 5, &up));
-  balancer.platform(news(Some(5), 6, &[unlisted(6, "up-13")]));
+  balancer.platform(update(Some(4), 5, &up));
+  balancer.platform(update(Some(5), 6, &[unlisted(6, "up-13")]));
   for _ in 0..30 {
     balancer.pass(Duration::from_millis(100));
     for host in [11, 12, 21] {
-      tell_load(&mut balancer, host, 1, Load::default());
+      feed_load(&mut balancer, host, 1, Load::default());
     }
     for number in 1..=balancers {
       let mut bytes = Vec::new();
@@ -196,16 +198,16 @@
       });
     }
   }
-  // A peer knows all that left the list.
-  let past = Frame::Past {
+  // A peer knows all removals.
+  let history = Frame::History {
     known: true,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![],
+    tombstones: vec![],
   };
   let mut bytes = Vec::new();
-  past.encode(&mut bytes);
+  history.encode(&mut bytes);
   let from = address(1);
   balancer.step(Event::Frame {
     from,
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn an_agent_that_does_not_keep_in_touch_has_time_to_answer_before_it_counts_as_lost() {
+fn an_agent_outside_the_overlay_has_time_to_answer_before_it_counts_as_down() {
   assert!(reset_after(3) < 500);
   let waits = reset_after(100);
   assert!((1500..4000).contains(&waits), "{waits}");
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -7,21 +7,21 @@
       absent, balancer, carried, feed_balancer_status, feed_status, is_reset, queried, search,
     },
     plain::Packet,
-    support::{Sent, flow, found, news, peer, unlisted, upstream},
+    support::{Sent, flow, found, peer, unlisted, update, upstream},
   },
   assert_matches::assert_matches,
   fallwell::{
     Revision,
     datagram::{
       Frame, Load,
-      frame::{Gone, Known, Purpose},
+      frame::{Known, Purpose, Tombstone},
     },
   },
   std::time::Duration,
 };
 
-fn tombstone(host: u8) -> Gone {
-  Gone {
+fn tombstone(host: u8) -> Tombstone {
+  Tombstone {
     address: upstream(host),
     age_ms: 20_000,
     service: "a".parse().expect("a name"),
@@ -33,18 +33,18 @@
   let mut balancer = balancer();
   assert_eq!(
     feed_balancer_status(&mut balancer, 2),
-    [Sent::Frame(peer(2), Frame::AskPast, vec![])]
+    [Sent::Frame(peer(2), Frame::HistoryRequest, vec![])]
   );
   search(&mut balancer);
   balancer.frame(11, &absent(4), &[]);
   let sent = balancer.frame(12, &absent(4), &[]);
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
-  let history = Frame::Past {
+  let history = Frame::History {
     known: true,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![tombstone(13)],
+    tombstones: vec![tombstone(13)],
   };
   balancer.frame(2, &history, &[]);
   // The repeated queries include the removed target.
@@ -62,12 +62,12 @@
   let mut balancer = balancer();
   feed_balancer_status(&mut balancer, 2);
   feed_balancer_status(&mut balancer, 3);
-  let empty_history = Frame::Past {
+  let empty_history = Frame::History {
     known: false,
-    led: vec![],
+    former_backends: vec![],
     part: 0,
     parts: 1,
-    past: vec![],
+    tombstones: vec![],
   };
   search(&mut balancer);
   balancer.frame(2, &empty_history, &[]);
@@ -81,12 +81,12 @@
 #[test]
 fn a_balancer_sends_its_tombstones_on_request() {
   let mut balancer = balancer();
-  balancer.platform(news(Some(4), 5, &[unlisted(5, "up-12")]));
-  let sent = balancer.frame(2, &Frame::AskPast, &[]);
+  balancer.platform(update(Some(4), 5, &[unlisted(5, "up-12")]));
+  let sent = balancer.frame(2, &Frame::HistoryRequest, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Past { known: false, part: 0, parts: 1, past, .. }, _)]
-      if *to == peer(2) && past[0].address == upstream(12)
+    [Sent::Frame(to, Frame::History { known: false, part: 0, parts: 1, tombstones, .. }, _)]
+      if *to == peer(2) && tombstones[0].address == upstream(12)
   );
 }
 
@@ -97,8 +97,8 @@
   let absent = Frame::Absent {
     flows: vec![flow(1, 1)],
     known: Known {
-      complete: Revision(4),
-      past: vec![(crate::support::upstream(13), 100)],
+      synced: Revision(4),
+      tombstones: vec![(crate::support::upstream(13), 100)],
     },
     lost: false,
   };
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -8,7 +8,7 @@
     support::{Sent, flow, found, peer},
   },
   assert_matches::assert_matches,
-  fallwell::datagram::{Frame, Load, frame::Purpose, handover::Passed},
+  fallwell::datagram::{Frame, Load, frame::Purpose, handover::FlowRecord},
   std::time::Duration,
 };
 
@@ -19,13 +19,13 @@
   let sent = feed_status(&mut balancer, 11, 2, Load::default());
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Held { flows }, _)]
+    [Sent::Frame(to, Frame::Restore { flows }, _)]
       if *to == peer(11) && flows[..] == [flow(1, 1)]
   );
 }
 
-fn flow_record(port: u16) -> Passed {
-  Passed {
+fn flow_record(port: u16) -> FlowRecord {
+  FlowRecord {
     flow: flow(port, 1),
     open: true,
     sequence: Some(7),
--- a/tests/datagram/sharing.rs
+++ b/tests/datagram/sharing.rs
@@ -4,7 +4,7 @@
   crate::{
     balancing::{Balancer, carried, feed_status},
     plain::Packet,
-    support::{Stepped, configured, flow, listed, news},
+    support::{Harness, configured, flow, listed, update},
   },
   fallwell::{config::Presence, datagram::Load},
   std::{collections::BTreeMap, ops::Range},
@@ -20,13 +20,13 @@
 
 /// A balancer with targets of service `a` on these hosts that report these loads.
 fn balancer_with_targets(hosts: Range<u8>, load: impl Fn(u8) -> Load) -> Balancer {
-  let mut balancer = Stepped::balancer(1, None);
+  let mut balancer = Harness::balancer(1, None);
   let listed = hosts.clone().map(|host| {
     let id = format!("up-{host}");
     listed(u64::from(host) + 2, &id, host, "a", Presence::Live)
   });
   let records = [configured(1, 1, &[(1, "a")])].into_iter().chain(listed);
-  balancer.platform(news(None, 300, &records.collect::<Vec<_>>()));
+  balancer.platform(update(None, 300, &records.collect::<Vec<_>>()));
   for host in hosts {
     feed_status(&mut balancer, host, 1, load(host));
   }
