--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -1,9 +1,9 @@
-//! Peer machines that hand each other messages over a link in memory, with delays and losses.
+//! Peer machines that exchange messages in simulated time, with random delays and losses.
 
 use {
   fallwell::{
     Revision,
-    config::{self, Key, Presence, Record, Role as Place},
+    config::{self, Key, Presence, Record, Role as InstanceRole},
     id,
     peer::{Event, Machine, Message, Role, Settings},
   },
@@ -17,33 +17,37 @@
   },
 };
 
-/// A message on its way: when it arrives, a running number, sender, receiver.
-type Transit = Reverse<(Duration, u64, usize, usize)>;
+/// An arrival: its time, the number of the message, and the indexes of sender and receiver.
+/// Reversed, so that the earliest is at the top of the heap.
+type Arrival = Reverse<(Duration, u64, usize, usize)>;
 
+/// A simulated network of peer machines, which are addressed by their index.
 pub struct Mesh {
-  /// Bytes sent, by kind.
+  /// Bytes sent, by message kind.
   pub bytes: BTreeMap<&'static str, u64>,
-  /// Messages sent, by kind.
+  /// Messages sent, by message kind.
   pub messages: BTreeMap<&'static str, u64>,
   pub machines: Vec<Machine>,
-  /// Pairs that do not reach each other.
+  /// Whether messages from the first machine to the second fail.
   pub cut: Box<dyn Fn(usize, usize) -> bool>,
+  /// The probability that a message is lost.
   pub loss: f64,
-  base: Instant,
-  letters: HashMap<u64, Message>,
-  next: u64,
-  places: HashMap<SocketAddr, usize>,
+  arrivals: BinaryHeap<Arrival>,
+  elapsed: Duration,
+  in_flight: HashMap<u64, Message>,
+  indexes: HashMap<SocketAddr, usize>,
+  last_number: u64,
+  next_ticks: Vec<Duration>,
   rng: SmallRng,
-  ticks: Vec<Duration>,
-  time: Duration,
-  transit: BinaryHeap<Transit>,
+  start: Instant,
 }
 
+/// The control address of the machine with this index.
 pub fn address(index: usize) -> SocketAddr {
   SocketAddr::from(([127, 7, (index / 250) as u8, (index % 250) as u8], 7100))
 }
 
-/// The list entry of one balancer.
+/// A record with the instance document of one balancer.
 pub fn instance(index: usize, revision: u64) -> Record {
   let id = id::Instance(index as u32);
   let instance = config::Instance {
@@ -51,14 +55,14 @@
     data_centre: format!("centre-{}", index % 5),
     id,
     presence: Presence::Live,
-    role: Place::Balancer,
+    role: InstanceRole::Balancer,
     tunnel: address(index),
   };
   let text = json!(instance).to_string();
   Record::new(Key::Instance(id), Revision(revision), Some(text))
 }
 
-/// A service with some targets, of about the size that the capacity page reckons with.
+/// A record with a service document of realistic size: four routes and so many targets.
 pub fn service(id: u16, targets: u32, revision: u64) -> Record {
   let targets = (1..=targets).map(|target| config::Target {
     agent: SocketAddr::from(([127, 6, (id % 250) as u8, target as u8], 7200)),
@@ -87,12 +91,12 @@
 }
 
 impl Mesh {
-  /// Carriers that all hold the same records.
-  pub fn new(carriers: usize, records: &[Record], seed: u64) -> Self {
-    let base = Instant::now();
+  /// Replicas that all store the same records.
+  pub fn new(replicas: usize, records: &[Record], seed: u64) -> Self {
+    let start = Instant::now();
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut machines = Vec::new();
-    for index in 0..carriers {
+    for index in 0..replicas {
       let mut machine = Machine::new(
         address(index),
         Role::Replica,
@@ -100,31 +104,31 @@
         Settings::default(),
         seed + index as u64,
       );
-      machine.step(base, Event::Platform(records.to_vec()));
+      machine.step(start, Event::Platform(records.to_vec()));
       machines.push(machine);
     }
     let tick = Settings::default().tick;
-    let ticks = machines
+    let next_ticks = machines
       .iter()
       .map(|_| tick.mul_f64(rng.random_range(0.0..1.0)));
     Self {
+      arrivals: BinaryHeap::new(),
       bytes: BTreeMap::new(),
       cut: Box::new(|_, _| false),
-      letters: HashMap::new(),
+      elapsed: Duration::ZERO,
+      in_flight: HashMap::new(),
+      last_number: 0,
       loss: 0.0,
       messages: BTreeMap::new(),
-      next: 0,
-      places: (0..carriers).map(|index| (address(index), index)).collect(),
-      ticks: ticks.collect(),
-      base,
+      indexes: (0..replicas).map(|index| (address(index), index)).collect(),
+      next_ticks: next_ticks.collect(),
       machines,
       rng,
-      time: Duration::ZERO,
-      transit: BinaryHeap::new(),
+      start,
     }
   }
 
-  /// Adds a carrier that holds nothing and knows the first as its seed.
+  /// Adds an empty replica that knows one other as its seed, and returns its index.
   pub fn join(&mut self, seed: usize) -> usize {
     let index = self.machines.len();
     self.machines.push(Machine::new(
@@ -134,74 +138,76 @@
       Settings::default(),
       index as u64,
     ));
-    self.places.insert(address(index), index);
-    self.ticks.push(self.time);
+    self.indexes.insert(address(index), index);
+    self.next_ticks.push(self.elapsed);
     index
   }
 
-  /// The platform tells one carrier that nothing has changed.
-  pub fn confirm(&mut self, at: usize) {
-    self.step(at, Event::Platform(Vec::new()));
+  /// Simulates an answer of the platform to one replica that nothing has changed.
+  pub fn confirm(&mut self, replica: usize) {
+    self.step(replica, Event::Platform(Vec::new()));
   }
 
-  /// How long ago the carrier that knows least heard, through others, from the platform.
+  /// The age of the oldest confirmation by the platform, direct or through peers, over all
+  /// replicas.
   pub fn oldest_word(&self) -> Duration {
-    let now = self.base + self.time;
-    let words = self.machines.iter().map(|machine| machine.confirmed(now));
-    let ages = words.map(|age| age.unwrap_or(Duration::MAX));
+    let now = self.start + self.elapsed;
+    let ages = self.machines.iter().map(|machine| machine.confirmed(now));
+    let ages = ages.map(|age| age.unwrap_or(Duration::MAX));
     ages.max().unwrap_or(Duration::MAX)
   }
 
-  /// The platform tells one carrier of a change.
-  pub fn publish(&mut self, at: usize, record: Record) {
-    self.step(at, Event::Platform(vec![record]));
+  /// Simulates an answer of the platform to one replica that a record has changed.
+  pub fn publish(&mut self, replica: usize, record: Record) {
+    self.step(replica, Event::Platform(vec![record]));
   }
 
-  /// Lets time pass until a condition holds, at most so long; the time that it took.
+  /// Simulates until a condition holds and returns the time that it took, or `None` after the
+  /// timeout.
   pub fn run_until(
     &mut self,
-    most: Duration,
-    holds: impl Fn(&[Machine]) -> bool,
+    timeout: Duration,
+    condition: impl Fn(&[Machine]) -> bool,
   ) -> Option<Duration> {
-    let begun = self.time;
-    let end = begun + most;
-    while !holds(&self.machines) {
+    let start = self.elapsed;
+    let end = start + timeout;
+    while !condition(&self.machines) {
       if !self.advance(end) {
         return None;
       }
     }
-    Some(self.time.saturating_sub(begun))
+    Some(self.elapsed.saturating_sub(start))
   }
 
-  /// Lets time pass.
+  /// Simulates for this time.
   pub fn run(&mut self, time: Duration) {
-    let end = self.time + time;
+    let end = self.elapsed + time;
     while self.advance(end) {}
   }
 
-  /// The next tick or message; false when the end comes first.
+  /// Simulates the next tick or arrival; returns false if the end comes first.
   fn advance(&mut self, end: Duration) -> bool {
     let (index, tick) = self
-      .ticks
+      .next_ticks
       .iter()
       .copied()
       .enumerate()
       .min_by_key(|(_, tick)| *tick)
-      .expect("a carrier");
-    let arrival = self.transit.peek().map(|Reverse((at, ..))| *at);
-    let next = arrival.map_or(tick, |at| at.min(tick));
+      .expect("at least one replica");
+    let arrival = self.arrivals.peek().map(|Reverse((time, ..))| *time);
+    let next = arrival.map_or(tick, |time| time.min(tick));
     if next >= end {
-      self.time = end;
+      self.elapsed = end;
       return false;
     }
-    self.time = next;
+    self.elapsed = next;
     if arrival != Some(next) {
-      self.ticks[index] = next + Settings::default().tick;
+      self.next_ticks[index] = next + Settings::default().tick;
       self.step(index, Event::Tick);
       return true;
     }
-    if let Some(Reverse((_, number, from, to))) = self.transit.pop()
-      && let Some(message) = self.letters.remove(&number)
+    if let Some(Reverse((_, number, from, to))) = self.arrivals.pop()
+      && let Some(message) = self.in_flight.remove(&number)
     {
       self.step(to, Event::Received(address(from), message));
     }
@@ -209,27 +215,26 @@
   }
 
   fn step(&mut self, index: usize, event: Event) {
-    let again = !matches!(event, Event::Failed(..));
-    let letters = self.machines[index].step(self.base + self.time, event);
-    for (to, message) in letters {
+    // A failure during the report of a failure is not reported.
+    let reports_failures = !matches!(event, Event::Failed(..));
+    let outgoing = self.machines[index].step(self.start + self.elapsed, event);
+    for (peer, message) in outgoing {
       *self.bytes.entry(message.kind()).or_default() += message.size() as u64;
       *self.messages.entry(message.kind()).or_default() += 1;
-      let peer = to;
-      let Some(to) = self.places.get(&peer).copied() else {
+      let Some(receiver) = self.indexes.get(&peer).copied() else {
         continue;
       };
-      if (self.cut)(index, to) || self.rng.random_bool(self.loss) {
-        if again {
+      if (self.cut)(index, receiver) || self.rng.random_bool(self.loss) {
+        if reports_failures {
           self.step(index, Event::Failed(peer, message));
         }
         continue;
       }
       let delay = Duration::from_micros(self.rng.random_range(500..10_000));
-      self.next += 1;
-      self.letters.insert(self.next, message);
-      self
-        .transit
-        .push(Reverse((self.time + delay, self.next, index, to)));
+      self.last_number += 1;
+      self.in_flight.insert(self.last_number, message);
+      let arrival = (self.elapsed + delay, self.last_number, index, receiver);
+      self.arrivals.push(Reverse(arrival));
     }
   }
 }
