--- a/tests/integration/command.rs
+++ b/tests/integration/command.rs
@@ -1,4 +1,4 @@
-//! The command line and the resource API, with right and wrong arguments.
+//! The command line and the API of the processes, with valid and invalid arguments.
 
 use {
   crate::support::{
@@ -16,29 +16,29 @@
   },
 };
 
-fn fallwell(arguments: &[&str]) -> Output {
+fn run_fallwell(arguments: &[&str]) -> Output {
   Command::new(env!("CARGO_BIN_EXE_fallwell"))
     .args(arguments)
     .output()
     .expect("fallwell runs")
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
   let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-  fs::write(&path, text).expect("file");
+  fs::write(&path, text).expect("file is written");
   path
 }
 
-/// Runs with wrong arguments, and compares the code, the status and the message to the letter.
+/// Asserts the exact message on standard error and the exit status.
 fn assert_refused(arguments: &[&str], status: i32, message: &str) {
-  let output = fallwell(arguments);
-  let text = String::from_utf8_lossy(&output.stderr).trim().to_owned();
-  assert_eq!(text, message);
-  assert_eq!(output.status.code(), Some(status), "{text}");
+  let output = run_fallwell(arguments);
+  let error = String::from_utf8_lossy(&output.stderr).trim().to_owned();
+  assert_eq!(error, message);
+  assert_eq!(output.status.code(), Some(status), "{error}");
 }
 
 #[test]
-fn wrong_arguments_are_refused_with_a_number_and_a_place() {
+fn invalid_arguments_are_refused_with_code_and_cause() {
   assert_refused(
     &["fly"],
     2,
@@ -91,7 +91,7 @@
     "wait",
     "watch",
   ] {
-    let output = fallwell(&[verb, "--help"]);
+    let output = run_fallwell(&[verb, "--help"]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
@@ -102,10 +102,10 @@
 }
 
 #[test]
-fn wrong_settings_are_refused_with_file_line_and_key() {
-  let path = file("wrong.toml", "instance = 1\ncolour = 2\n");
+fn invalid_settings_are_refused_with_file_line_and_key() {
+  let path = write_file("wrong.toml", "instance = 1\ncolour = 2\n");
   let argument = path.display().to_string();
-  let output = fallwell(&["check", "--balancer", &argument]);
+  let output = run_fallwell(&["check", "--balancer", &argument]);
   let text = String::from_utf8_lossy(&output.stderr).into_owned();
   let expected =
     format!("fallwell: F122 settings are not valid: {argument}: line 2: unknown field `colour`");
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn an_api_address_that_others_reach_is_refused() {
-  let path = file("open.toml", "api = \"192.0.2.1:7300\"\n");
+fn an_api_address_beyond_loopback_is_refused() {
+  let path = write_file("open.toml", "api = \"192.0.2.1:7300\"\n");
   let argument = path.display().to_string();
   assert_refused(
     &["check", "--agent", &argument],
@@ -130,7 +130,7 @@
   let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("samples");
   let path = |name: &str| root.join(name).display().to_string();
   let document = format!("service/1={}", path("service.json"));
-  let output = fallwell(&[
+  let output = run_fallwell(&[
     "check",
     "--balancer",
     &path("balancer.toml"),
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_generation_is_waited_for_and_a_refused_one_is_named() {
+async fn wait_succeeds_for_a_generation_in_force_and_reports_a_refused_document() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   fleet.publish(1).await;
   let generation = fleet.document(1).generation.to_string();
@@ -155,7 +155,7 @@
     fleet.balancer_api(1).to_string(),
     fleet.balancer_api(2).to_string(),
   ];
-  let output = fallwell(&[
+  let output = run_fallwell(&[
     "wait",
     "--api",
     &apis[0],
@@ -172,12 +172,12 @@
     String::from_utf8_lossy(&output.stderr)
   );
   fleet.put("service/1", "{").await;
-  until("the refusal is known", || async {
+  until("the document is refused", || async {
     let resource = get(fleet.balancer_api(1), "/v1/services/1").await;
     resource["conditions"]["accepted"]["status"] == false
   })
   .await;
-  let output = fallwell(&[
+  let output = run_fallwell(&[
     "wait",
     "--api",
     &apis[0],
@@ -197,10 +197,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn services_and_state_are_shown() {
+async fn verbs_that_read_print_services_and_state() {
   let fleet = Fleet::new().balancers(1).service(1, 2).start().await;
   let api = fleet.balancer_api(1).to_string();
-  let output = fallwell(&["get", "--api", &api]);
+  let output = run_fallwell(&["get", "--api", &api]);
   let text = String::from_utf8_lossy(&output.stdout).into_owned();
   assert!(
     text
@@ -214,22 +214,22 @@
     vec!["dump", "--api", &api],
     vec!["watch", "--api", &api, "--count", "1", "--output", "json"],
   ] {
-    let output = fallwell(&arguments);
+    let output = run_fallwell(&arguments);
     assert!(output.status.success(), "{arguments:?}");
     serde_json::from_slice::<serde_json::Value>(&output.stdout).expect("json");
   }
   let agent = fleet.agent_api(1, 1).to_string();
-  let output = fallwell(&["drain-status", "--api", &agent]);
+  let output = run_fallwell(&["drain-status", "--api", &agent]);
   let text = String::from_utf8_lossy(&output.stdout).into_owned();
   assert_eq!(text.trim(), "leaving false, 0 flows, 0 requests");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_probe_reports_outcomes_and_broken_flows() {
+async fn probe_reports_statuses_and_broken_flows() {
   let fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let service = fleet.address(1).to_string();
   let root = fleet.certificate_file().display().to_string();
-  let output = fallwell(&[
+  let output = run_fallwell(&[
     "probe",
     "--service",
     &service,
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn wrong_paths_and_methods_of_the_api_are_refused_with_a_number() {
+async fn invalid_api_requests_are_refused_with_their_code() {
   let fleet = Fleet::new().balancers(1).service(1, 1).start().await;
   for api in fleet.apis() {
     for (method, path, status) in [
@@ -262,8 +262,8 @@
       (Method::POST, "/v1/state", StatusCode::METHOD_NOT_ALLOWED),
     ] {
       let answer = web::request(api, method, path, "", Duration::from_secs(5)).await;
-      let (found, body) = answer.unwrap();
-      assert_eq!(found, status, "{path}");
+      let (actual, body) = answer.unwrap();
+      assert_eq!(actual, status, "{path}");
       let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
       assert_eq!(body["code"], 131);
     }
@@ -271,11 +271,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_call_handed_over_without_a_fitting_tag_is_refused() {
+async fn a_hand_off_without_a_valid_tag_is_refused() {
   let fleet = Fleet::new().balancers(1).service(1, 1).start().await;
-  let handoff = fleet.listed_agent(1, 1, 7200);
+  let hand_off_address = fleet.listed_agent(1, 1, 7200);
   let answer = web::request(
-    handoff,
+    hand_off_address,
     Method::POST,
     "/confirm",
     "x",
@@ -291,7 +291,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn metrics_reach_their_server() {
+async fn metrics_are_sent_to_the_statsd_server() {
   let server = UdpSocket::bind("127.0.0.1:0").unwrap();
   server
     .set_read_timeout(Some(Duration::from_mins(1)))
