--- a/tests/integration/whole_path.rs
+++ b/tests/integration/basic_requests.rs
@@ -1,10 +1,12 @@
+//! Requests through all processes, without faults.
+
 use {
   crate::support::fleet::Fleet,
   http::{Method, StatusCode},
 };
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn get_and_post_are_answered_whole_while_the_fabric_sprays() {
+async fn get_and_post_are_answered_in_full_through_several_balancers() {
   let fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let caller = fleet.caller(1).await;
 
