--- a/tests/integration/broken_flows.rs
+++ b/tests/integration/broken_flows.rs
@@ -1,4 +1,4 @@
-//! Feeds that stay open under failure and change.
+//! Failures, restarts and configuration changes must not break open flows.
 
 use {
   crate::support::{
@@ -16,8 +16,8 @@
   let mut fleet = Fleet::new().balancers(3).service(1, 3).start().await;
   let feeds = Feeds::open(&fleet, 1, 12).await;
   fleet.balancer(1).kill();
-  feeds.go_on(20).await;
-  feeds.assert_whole("a balancer killed").await;
+  feeds.wait_for_lines(20).await;
+  feeds.assert_intact("a balancer killed").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -26,41 +26,43 @@
   let feeds = Feeds::open(&fleet, 1, 12).await;
   fleet.balancer(1).kill();
   fleet.balancer(3).kill();
-  feeds.go_on(20).await;
-  feeds.assert_whole("two balancers killed at once").await;
+  feeds.wait_for_lines(20).await;
+  feeds.assert_intact("two balancers killed at once").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn feeds_survive_a_balancer_frozen_for_ten_seconds() {
+async fn feeds_survive_a_balancer_suspended_for_ten_seconds() {
   let mut fleet = Fleet::new().balancers(3).service(1, 3).start().await;
   let feeds = Feeds::open(&fleet, 1, 12).await;
-  fleet.balancer(2).freeze();
+  fleet.balancer(2).suspend();
   tokio::time::sleep(Duration::from_secs(10)).await;
-  feeds.go_on(5).await;
-  fleet.balancer(2).thaw();
-  feeds.assert_whole("a balancer frozen and thawed").await;
+  feeds.wait_for_lines(5).await;
+  fleet.balancer(2).resume();
+  feeds
+    .assert_intact("a balancer suspended and resumed")
+    .await;
   let state = fleet.balancer_state(2).await;
   assert_eq!(state["config"]["reversions"], 0);
   assert_eq!(state["path"]["avoided"].as_array().unwrap().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn feeds_survive_a_changed_address_of_the_caller() {
+async fn feeds_survive_changes_of_the_callers_address() {
   let fleet = Fleet::new().balancers(3).service(1, 3).start().await;
   let feeds = Feeds::open(&fleet, 1, 8).await;
   for _ in 0..3 {
     for feed in &feeds.0 {
       feed.caller.rebind().unwrap();
     }
-    feeds.go_on(5).await;
+    feeds.wait_for_lines(5).await;
   }
   feeds
-    .assert_whole("callers' addresses changed three times")
+    .assert_intact("callers' addresses changed three times")
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn feeds_survive_loss_doubles_and_overtaking() {
+async fn feeds_survive_packet_loss_duplication_and_reordering() {
   let fleet = Fleet::new()
     .balancers(2)
     .service(1, 2)
@@ -75,54 +77,56 @@
   };
   fleet.plan(&plan).await;
   let feeds = Feeds::open(&fleet, 1, 8).await;
-  feeds.go_on(40).await;
+  feeds.wait_for_lines(40).await;
   fleet.plan(&Plan::default()).await;
   feeds
-    .assert_whole("5% lost and doubled, delays up to 20 ms")
+    .assert_intact("5% lost, 5% duplicated, delays up to 20 ms")
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_balancer_that_joins_in_an_outage_serves_what_its_peers_serve() {
+async fn a_balancer_restarted_in_a_platform_outage_takes_the_configuration_of_its_peers() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   fleet.platform_condition("stale").await;
   fleet.targets(1).push(3);
   let revision = fleet.publish(1).await;
-  // The stale copy hides the change from watches; the operator's platform heals for a moment.
+  // A stale platform hides the change from watches, so it is up until the change is in force.
   fleet.platform_condition("up").await;
   fleet.wait_in_force(&[1, 2], 1, revision).await;
   fleet.start_target(1, 3);
-  fleet.ready().await;
+  fleet.wait_all_ready().await;
   let feeds = Feeds::open(&fleet, 1, 12).await;
   fleet.platform_condition("down").await;
   fleet.balancer(1).kill();
   fleet.start_balancer(1);
-  fleet.ready().await;
+  fleet.wait_all_ready().await;
   fleet.spray(1, &[1]).await;
-  feeds.go_on(10).await;
-  feeds.assert_whole("a balancer joined in an outage").await;
+  feeds.wait_for_lines(10).await;
+  feeds
+    .assert_intact("a balancer restarted in a platform outage")
+    .await;
   let state = fleet.balancer_state(1).await;
   assert_eq!(state["config"]["services"][0]["revision"], revision);
-  let later = Feeds::open(&fleet, 1, 4).await;
-  later
-    .assert_whole("flows opened through the joined balancer alone")
+  let newer = Feeds::open(&fleet, 1, 4).await;
+  newer
+    .assert_intact("flows opened through the restarted balancer alone")
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stale_copy_of_the_platform_turns_nothing_back() {
+async fn a_platform_restored_from_a_stale_copy_reverts_no_configuration() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
-  let old = serde_json::json!(fleet.document(1)).to_string();
+  let previous_document = serde_json::json!(fleet.document(1)).to_string();
   fleet.targets(1).push(3);
   let revision = fleet.publish(1).await;
   fleet.wait_in_force(&[1, 2], 1, revision).await;
   fleet.start_target(1, 3);
-  fleet.ready().await;
-  fleet.platform_goes_back(1, &old).await;
+  fleet.wait_all_ready().await;
+  fleet.replace_platform(1, &previous_document).await;
   fleet.balancer(1).kill();
   fleet.start_balancer(1);
-  fleet.ready().await;
-  fleet.wait_for_reads(3).await;
+  fleet.wait_all_ready().await;
+  fleet.wait_for_platform_reads(3).await;
   for number in [1, 2] {
     let state = fleet.balancer_state(number).await;
     assert_eq!(state["config"]["services"][0]["revision"], revision);
@@ -131,7 +135,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_upstream_drains_while_a_balancer_is_killed() {
+async fn a_draining_target_keeps_its_flows_when_a_balancer_is_killed() {
   let mut fleet = Fleet::new()
     .balancers(3)
     .service(1, 3)
@@ -139,39 +143,46 @@
     .start()
     .await;
   let mut feeds = Feeds::open(&fleet, 1, 12).await;
-  let leaving = feeds.0[0].target();
-  fleet.agent(1, leaving).stop();
+  let draining = feeds.0[0].target();
+  fleet.agent(1, draining).stop();
   fleet.balancer(1).kill();
-  fleet.wait_leaving(1, leaving).await;
-  feeds.go_on(20).await;
+  fleet.wait_draining(1, draining).await;
+  feeds.wait_for_lines(20).await;
   feeds
-    .assert_whole("an upstream drained, a balancer killed")
+    .assert_intact("a target draining, a balancer killed")
     .await;
 
   for _ in 0..8 {
     let feed = Feed::open(&fleet, 1).await;
-    assert_ne!(feed.target(), leaving, "a leaving target took a new flow");
+    assert_ne!(
+      feed.target(),
+      draining,
+      "a draining target accepted a new flow"
+    );
     feeds.0.push(feed);
   }
-  let (moved, stay): (Vec<_>, Vec<_>) = feeds
+  let (closing, remaining): (Vec<_>, Vec<_>) = feeds
     .0
     .into_iter()
-    .partition(|feed| feed.target() == leaving);
-  for feed in moved {
+    .partition(|feed| feed.target() == draining);
+  for feed in closing {
     feed.caller.close().await;
   }
-  // A caller whose last words were lost at the dead balancer counts as gone after 60 s.
-  let status = fleet.agent(1, leaving).wait(Duration::from_secs(100));
-  assert!(status.success(), "the drained agent ended with {status}");
-  Feeds(stay).assert_whole("the flows that stay").await;
+  // If the connection close of a caller is lost at the killed balancer, its flow ends by the idle
+  // timeout of 60 s.
+  let status = fleet.agent(1, draining).wait(Duration::from_secs(100));
+  assert!(status.success(), "the drained agent exited with {status}");
+  Feeds(remaining)
+    .assert_intact("flows of the other targets")
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_of_an_agent_cuts_no_request() {
+async fn graceful_shutdown_of_an_agent_completes_running_requests() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let feed = Feed::open(&fleet, 1).await;
   let target = feed.target();
-  let slow = {
+  let request = {
     let caller = feed.caller.clone();
     tokio::spawn(async move {
       caller
@@ -179,9 +190,9 @@
         .await
     })
   };
-  fleet.wait_requests(1, target, 2).await;
+  fleet.wait_for_requests(1, target, 2).await;
   fleet.agent(1, target).stop();
-  let answer = slow.await.unwrap().unwrap();
+  let answer = request.await.unwrap().unwrap();
   assert_eq!(answer.status, StatusCode::OK);
   feed.caller.close().await;
   let status = fleet.agent(1, target).wait(Duration::from_secs(20));
@@ -189,7 +200,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn updates_reach_some_balancers_before_others() {
+async fn feeds_survive_a_balancer_with_outdated_configuration() {
   let mut fleet = Fleet::new()
     .balancers(3)
     .service(1, 3)
@@ -197,7 +208,7 @@
     .start()
     .await;
   let feeds = Feeds::open(&fleet, 1, 9).await;
-  // Balancer 3 hears neither its peers nor the platform's news, and goes on serving.
+  // Balancer 3 gets updates neither from its peers nor from the platform, and keeps serving.
   let mut cuts = fleet.cuts_between_balancers(&[3], &[1, 2]);
   cuts.push(fleet.cut_from_platform(3));
   fleet
@@ -210,25 +221,27 @@
   let revision = fleet.publish(1).await;
   fleet.wait_in_force(&[1, 2], 1, revision).await;
   fleet.start_target(1, 4);
-  fleet.ready().await;
-  fleet.wait_taking(1, 4, revision).await;
+  fleet.wait_all_ready().await;
+  fleet.wait_accepting(1, 4, revision).await;
   fleet.spray(1, &[1, 2]).await;
   let newer = Feeds::open(&fleet, 1, 16).await;
   assert!(
     newer.0.iter().any(|feed| feed.target() == 4),
-    "target 4 took no flow"
+    "target 4 accepted no flow"
   );
   fleet.spray(1, &[1, 2, 3]).await;
-  feeds.assert_whole("older flows, a balancer behind").await;
+  feeds
+    .assert_intact("older flows, a balancer with outdated configuration")
+    .await;
   newer
-    .assert_whole("flows of a target that a balancer does not know")
+    .assert_intact("newer flows, a balancer with outdated configuration")
     .await;
   fleet.plan(&Plan::default()).await;
   fleet.wait_in_force(&[3], 1, revision).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_halves_that_do_not_reach_each_other_both_serve() {
+async fn both_sides_of_a_network_partition_serve() {
   let fleet = Fleet::new()
     .balancers(4)
     .service(1, 4)
@@ -245,51 +258,53 @@
       ..Plan::default()
     })
     .await;
-  // Half of each flow's packets arrive at a balancer that cannot reach its target.
-  feeds.go_on(40).await;
+  // Half of the packets of each flow reach a balancer that is cut off from the flow's target.
+  feeds.wait_for_lines(40).await;
   assert_eq!(feeds.broken(), 0);
   let newer = Feeds::open(&fleet, 1, 6).await;
   newer
-    .assert_whole("flows opened while the halves are apart")
+    .assert_intact("flows opened during the partition")
     .await;
   fleet.plan(&Plan::default()).await;
-  newer.assert_whole("the same, together again").await;
+  newer
+    .assert_intact("flows opened during the partition, after it")
+    .await;
   feeds
-    .assert_whole("two halves apart and together again")
+    .assert_intact("flows opened before the partition, after it")
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn balancers_come_and_go_while_feeds_stay() {
+async fn feeds_survive_a_rolling_restart_of_balancers() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let feeds = Feeds::open(&fleet, 1, 8).await;
   for number in [1, 2, 1, 2] {
-    fleet.list_balancer(number, Presence::Leaving).await;
+    fleet.publish_balancer(number, Presence::Leaving).await;
     fleet.balancer(number).stop();
     let other = 3 - number;
     fleet.spray(1, &[other]).await;
     let status = fleet.balancer(number).wait(Duration::from_secs(20));
     assert!(status.success());
-    fleet.list_balancer(number, Presence::Live).await;
+    fleet.publish_balancer(number, Presence::Live).await;
     fleet.start_balancer(number);
-    fleet.ready().await;
+    fleet.wait_all_ready().await;
     fleet.spray(1, &[1, 2]).await;
-    feeds.go_on(5).await;
+    feeds.wait_for_lines(5).await;
   }
-  feeds.assert_whole("each balancer replaced twice").await;
+  feeds.assert_intact("each balancer restarted twice").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn feeds_survive_a_new_certificate_and_a_new_tag_key() {
+async fn feeds_survive_rotation_of_certificate_and_tag_key() {
   let mut fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let feeds = Feeds::open(&fleet, 1, 8).await;
   fleet.renew_certificate();
   for target in [1, 2] {
     fleet.agent(1, target).reload();
   }
-  until("agents take the new certificate", || async {
-    let roots = fleet.try_caller(1).await;
-    roots.is_ok()
+  until("agents use the new certificate", || async {
+    let caller = fleet.try_caller(1).await;
+    caller.is_ok()
   })
   .await;
   let keyring = fleet.keyring();
@@ -301,9 +316,13 @@
   fleet.keyring().current = 2;
   fleet.publish_keyring().await;
   feeds
-    .assert_whole("flows of the old certificate and key")
+    .assert_intact("flows of the previous certificate and tag key")
     .await;
   let newer = Feeds::open(&fleet, 1, 8).await;
-  newer.assert_whole("flows of the new ones").await;
-  feeds.assert_whole("the old flows again").await;
+  newer
+    .assert_intact("flows of the new certificate and tag key")
+    .await;
+  feeds
+    .assert_intact("flows of the previous certificate and tag key, again")
+    .await;
 }
--- a/tests/support/child.rs
+++ b/tests/support/child.rs
@@ -1,3 +1,5 @@
+//! Child processes of tests and benchmarks.
+
 use {
   nix::{
     sys::signal::{self, Signal},
@@ -12,13 +14,13 @@
   },
 };
 
-/// A process that a test started, ended with the test.
+/// A child process that is killed when it is dropped.
 pub struct Child {
   process: Process,
 }
 
 impl Child {
-  /// Starts a program whose log goes to a file.
+  /// Starts a program and appends its output to a log file.
   pub fn start<S: AsRef<OsStr>>(program: &str, arguments: &[S], log: &Path) -> Self {
     let file = File::options()
       .append(true)
@@ -35,52 +37,52 @@
     Self { process }
   }
 
-  /// Ends it at once, but not now.
-  pub fn kill_soon(&self, after: Duration) {
+  /// Kills the process after a delay, from another thread.
+  pub fn kill_after(&self, delay: Duration) {
     let pid = Pid::from_raw(self.process.id().cast_signed());
     std::thread::spawn(move || {
-      std::thread::sleep(after);
+      std::thread::sleep(delay);
       let _ = signal::kill(pid, Signal::SIGKILL);
     });
   }
 
-  /// Ends it at once.
+  /// Kills the process and waits for its exit.
   pub fn kill(&mut self) {
     let _ = self.process.kill();
     let _ = self.process.wait();
   }
 
-  /// Freezes it.
-  pub fn freeze(&self) {
+  /// Suspends the process with SIGSTOP.
+  pub fn suspend(&self) {
     self.signal(Signal::SIGSTOP);
   }
 
-  /// Lets it go on.
-  pub fn thaw(&self) {
+  /// Resumes the process with SIGCONT.
+  pub fn resume(&self) {
     self.signal(Signal::SIGCONT);
   }
 
-  /// Asks it to stop as planned.
+  /// Requests a graceful shutdown with SIGTERM.
   pub fn stop(&self) {
     self.signal(Signal::SIGTERM);
   }
 
-  /// Asks it to read its files again.
+  /// Makes the process reload its files with SIGHUP.
   pub fn reload(&self) {
     self.signal(Signal::SIGHUP);
   }
 
-  /// The processor time that it has used.
+  /// User and system CPU time used so far.
   pub fn processor_time(&self) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("stat");
     let (_, rest) = stat.rsplit_once(')').expect("stat");
     let fields = rest.split_whitespace().collect::<Vec<_>>();
     let ticks = |index: usize| fields[index].parse::<u64>().expect("ticks");
-    // Fields 14 and 15 of the whole line, in hundredths of a second.
+    // utime and stime, fields 14 and 15 of the whole line, in ticks of 10 ms.
     Duration::from_millis((ticks(11) + ticks(12)) * 10)
   }
 
-  /// The memory that it holds, in bytes.
+  /// Resident memory, in bytes.
   pub fn memory(&self) -> u64 {
     let status = fs::read_to_string(format!("/proc/{}/status", self.process.id()));
     let status = status.expect("status");
@@ -92,14 +94,14 @@
       * 1024
   }
 
-  /// Waits for its end.
-  pub fn wait(&mut self, limit: Duration) -> ExitStatus {
-    let end = Instant::now() + limit;
+  /// Waits for the exit; panics after the timeout.
+  pub fn wait(&mut self, timeout: Duration) -> ExitStatus {
+    let deadline = Instant::now() + timeout;
     loop {
       if let Ok(Some(status)) = self.process.try_wait() {
         return status;
       }
-      assert!(Instant::now() < end, "process did not end in time");
+      assert!(Instant::now() < deadline, "process did not exit in time");
       std::thread::sleep(Duration::from_millis(20));
     }
   }
@@ -111,7 +113,7 @@
 
 impl Drop for Child {
   fn drop(&mut self) {
-    self.thaw();
+    self.resume();
     self.kill();
   }
 }
--- a/tests/support/feeds.rs
+++ b/tests/support/feeds.rs
@@ -1,3 +1,5 @@
+//! Streaming answers (feeds) that a test keeps open to detect broken flows.
+
 use {
   super::{fleet::Fleet, wait::until},
   fallwell::caller::Caller,
@@ -7,7 +9,7 @@
   },
 };
 
-/// One rider's open feed, read in a task of its own.
+/// A feed on a flow of its own, read in a background task.
 pub struct Feed {
   pub caller: Caller,
   state: Arc<State>,
@@ -15,13 +17,13 @@
 
 #[derive(Default)]
 struct State {
-  beats: AtomicU64,
+  lines: AtomicU64,
   ended: AtomicBool,
-  foreign: AtomicBool,
-  name: Mutex<Option<String>>,
+  corrupt: AtomicBool,
+  upstream: Mutex<Option<String>>,
 }
 
-/// Open feeds whose end is counted as a broken flow.
+/// Open feeds; one that ends counts as a broken flow.
 pub struct Feeds(pub Vec<Feed>);
 
 impl Feeds {
@@ -34,38 +36,38 @@
     Self(feeds)
   }
 
-  /// How many have ended, by anything but the caller or the upstream.
+  /// How many feeds have ended.
   pub fn broken(&self) -> usize {
     self.0.iter().filter(|feed| feed.has_ended()).count()
   }
 
-  /// Waits until each that has not ended has gone on for some beats.
-  pub async fn go_on(&self, beats: u64) {
-    let before = self.0.iter().map(Feed::beats).collect::<Vec<_>>();
-    until("every feed goes on", || async {
-      let went_on =
-        |(feed, before): (&Feed, &u64)| feed.has_ended() || feed.beats() >= before + beats;
-      self.0.iter().zip(&before).all(went_on)
+  /// Waits until every feed has received so many more lines or has ended.
+  pub async fn wait_for_lines(&self, count: u64) {
+    let before = self.0.iter().map(Feed::lines).collect::<Vec<_>>();
+    until("every feed has received more lines", || async {
+      let is_done =
+        |(feed, before): (&Feed, &u64)| feed.has_ended() || feed.lines() >= before + count;
+      self.0.iter().zip(&before).all(is_done)
     })
     .await;
   }
 
-  /// Fails when a flow is broken or an answer was foreign; prints the figures.
-  pub async fn assert_whole(&self, what: &str) {
-    self.go_on(3).await;
-    let foreign = self.0.iter().filter(|feed| feed.is_foreign()).count();
+  /// Asserts that no flow is broken and no feed is corrupt; prints both counts.
+  pub async fn assert_intact(&self, scenario: &str) {
+    self.wait_for_lines(3).await;
+    let corrupt = self.0.iter().filter(|feed| feed.is_corrupt()).count();
     let broken = self.broken();
     println!(
-      "{what}: {} flows, {broken} broken, {foreign} foreign",
+      "{scenario}: {} flows, {broken} broken, {corrupt} corrupt",
       self.0.len()
     );
-    assert_eq!(broken, 0, "{what}: broken flows");
-    assert_eq!(foreign, 0, "{what}: foreign answers");
+    assert_eq!(broken, 0, "{scenario}: broken flows");
+    assert_eq!(corrupt, 0, "{scenario}: corrupt feeds");
   }
 }
 
 impl Feed {
-  /// Opens a flow and a feed on it.
+  /// Opens a flow and a feed on it, and waits for the first line.
   pub async fn open(fleet: &Fleet, service: u16) -> Self {
     let caller = fleet.caller(service).await;
     let mut feed = caller.feed("/feed?interval_ms=50").await.expect("feed");
@@ -73,60 +75,68 @@
     tokio::spawn({
       let state = Arc::clone(&state);
       async move {
-        let mut text = String::new();
-        while let Ok(Some(piece)) = feed.next().await {
-          text.push_str(&String::from_utf8_lossy(&piece));
-          while let Some(end) = text.find('\n') {
-            state.take(&text[..end]);
-            text.drain(..=end);
+        let mut buffer = String::new();
+        while let Ok(Some(chunk)) = feed.next().await {
+          buffer.push_str(&String::from_utf8_lossy(&chunk));
+          while let Some(end) = buffer.find('\n') {
+            state.record_line(&buffer[..end]);
+            buffer.drain(..=end);
           }
         }
         state.ended.store(true, Ordering::Relaxed);
       }
     });
     let feed = Self { caller, state };
-    until("a feed begins", || async {
-      feed.beats() > 0 || feed.has_ended()
+    until("a feed has begun", || async {
+      feed.lines() > 0 || feed.has_ended()
     })
     .await;
     feed
   }
 
-  pub fn beats(&self) -> u64 {
-    self.state.beats.load(Ordering::Relaxed)
+  /// How many lines were received.
+  pub fn lines(&self) -> u64 {
+    self.state.lines.load(Ordering::Relaxed)
   }
 
   pub fn has_ended(&self) -> bool {
     self.state.ended.load(Ordering::Relaxed)
   }
 
-  pub fn is_foreign(&self) -> bool {
-    self.state.foreign.load(Ordering::Relaxed)
+  /// Whether a line came from another upstream or out of sequence.
+  pub fn is_corrupt(&self) -> bool {
+    self.state.corrupt.load(Ordering::Relaxed)
   }
 
-  /// The name of the upstream that speaks, service and target.
-  pub fn name(&self) -> String {
-    self.state.name.lock().unwrap().clone().expect("a name")
+  /// The name of the upstream that sends the feed, as `SERVICE-TARGET`.
+  pub fn upstream(&self) -> String {
+    self
+      .state
+      .upstream
+      .lock()
+      .unwrap()
+      .clone()
+      .expect("upstream's name")
   }
 
-  /// The target that speaks.
+  /// The number of the target that sends the feed.
   pub fn target(&self) -> u32 {
-    let name = self.name();
-    let (_, target) = name.split_once('-').expect("a target");
-    target.parse().expect("a target")
+    let name = self.upstream();
+    let (_, target) = name.split_once('-').expect("service and target");
+    target.parse().expect("target's number")
   }
 }
 
 impl State {
-  /// Takes a line: a name that never changes, and a number that rises by one.
-  fn take(&self, line: &str) {
+  /// Checks a line, which holds the upstream's name and a number that rises by one.
+  fn record_line(&self, line: &str) {
     let (name, number) = line.split_once(' ').expect("name and number");
-    let mut first = self.name.lock().unwrap();
-    let known = first.get_or_insert_with(|| name.to_owned());
+    let mut upstream = self.upstream.lock().unwrap();
+    let expected = upstream.get_or_insert_with(|| name.to_owned());
     let number: u64 = number.parse().expect("number");
-    if known != name || number != self.beats.load(Ordering::Relaxed) {
-      self.foreign.store(true, Ordering::Relaxed);
+    if expected != name || number != self.lines.load(Ordering::Relaxed) {
+      self.corrupt.store(true, Ordering::Relaxed);
     }
-    self.beats.fetch_add(1, Ordering::Relaxed);
+    self.lines.fetch_add(1, Ordering::Relaxed);
   }
 }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a test.
+//! A fleet of real processes on loopback addresses, for integration tests and benchmarks.
 
 mod addresses;
 mod operator;
@@ -28,45 +28,56 @@
 const AGENT: &str = env!("CARGO_BIN_EXE_fallwell-agent");
 const STANDIN: &str = env!("CARGO_BIN_EXE_fallwell-standin");
 
-/// The name that the certificates are made for.
+/// The host name in the test certificates.
 pub const NAME: &str = "service.test";
 
-const CALL_MAX: Duration = Duration::from_secs(5);
+/// Timeout of a request to the API of a process or stand-in.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+/// Counter that gives each fleet of this process another block of addresses.
+static NEXT_BLOCK: AtomicU32 = AtomicU32::new(0);
 
-/// Two octets that no other fleet uses now, held by a socket.
-struct Net {
-  _held: UdpSocket,
-  octets: (u8, u8),
+/// The loopback addresses `127.X.Y.*`, reserved for one fleet by a bound socket.
+struct AddressBlock {
+  _reservation: UdpSocket,
+  second_octet: u8,
+  third_octet: u8,
 }
 
-impl Net {
-  fn claim() -> Self {
+impl AddressBlock {
+  fn reserve() -> Self {
     for _ in 0..2000 {
-      let number = std::process::id().wrapping_mul(37) + NEXT.fetch_add(1, Ordering::Relaxed);
-      let octets = (1 + (number / 250 % 250) as u8, 1 + (number % 250) as u8);
-      let address = SocketAddr::new(ip(octets, 1), 6999);
-      if let Ok(held) = UdpSocket::bind(address) {
+      let number = std::process::id().wrapping_mul(37) + NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
+      let (second_octet, third_octet) = (1 + (number / 250 % 250) as u8, 1 + (number % 250) as u8);
+      let address = Ipv4Addr::new(127, second_octet, third_octet, 1);
+      if let Ok(reservation) = UdpSocket::bind((address, 6999)) {
         return Self {
-          _held: held,
-          octets,
+          _reservation: reservation,
+          second_octet,
+          third_octet,
         };
       }
     }
-    panic!("no free addresses");
+    panic!("no free block of loopback addresses");
   }
 
-  fn at(&self, host: u8, port: u16) -> SocketAddr {
-    SocketAddr::new(ip(self.octets, host), port)
+  fn ip(&self, host: u8) -> IpAddr {
+    IpAddr::V4(Ipv4Addr::new(
+      127,
+      self.second_octet,
+      self.third_octet,
+      host,
+    ))
   }
-}
 
-fn ip(octets: (u8, u8), host: u8) -> IpAddr {
-  IpAddr::V4(Ipv4Addr::new(127, octets.0, octets.1, host))
+  fn socket_address(&self, host: u8, port: u16) -> SocketAddr {
+    SocketAddr::new(self.ip(host), port)
+  }
 }
 
 /// The processes of a test: a platform, a fabric, balancers, agents and upstreams.
+///
+/// Targets, agents and upstreams are identified by service and target number.
 pub struct Fleet {
   agents: BTreeMap<(u16, u32), Child>,
   balancers: BTreeMap<u8, Child>,
@@ -79,31 +90,35 @@
   generation: u64,
   keyring: config::Keyring,
   metrics: Option<SocketAddr>,
-  net: Net,
+  addresses: AddressBlock,
   platform: Option<Child>,
   relayed: bool,
   services: BTreeMap<u16, Vec<u32>>,
   slots: u32,
-  slow: Option<(u32, u32)>,
+  /// Factor on the working time of the upstream of `slow_target`.
+  slowness: u32,
+  slow_target: Option<u32>,
   upstreams: BTreeMap<(u16, u32), Child>,
-  wanted_balancers: u8,
+  balancer_count: u8,
   without_agents: bool,
   without_routes: bool,
   workers: usize,
 }
 
 impl Fleet {
-  /// A fleet that is not started yet.
+  /// Reserves addresses and a directory; [`Self::start`] starts the processes.
   pub fn new() -> Self {
-    let net = Net::claim();
-    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-      .join(format!("fleet-{}-{}", net.octets.0, net.octets.1));
+    let addresses = AddressBlock::reserve();
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!(
+      "fleet-{}-{}",
+      addresses.second_octet, addresses.third_octet
+    ));
     let _ = fs::remove_dir_all(&directory);
     fs::create_dir_all(&directory).expect("directory");
     Self {
       agents: BTreeMap::new(),
       balancers: BTreeMap::new(),
-      certificate: certificate(&directory),
+      certificate: create_certificate(&directory),
       connections: 2000,
       deadline_ms: 10_000,
       directory,
@@ -118,87 +133,90 @@
         }],
       },
       metrics: None,
-      net,
+      addresses,
       platform: None,
       relayed: false,
       services: BTreeMap::new(),
       slots: 5,
-      slow: None,
+      slowness: 1,
+      slow_target: None,
       upstreams: BTreeMap::new(),
-      wanted_balancers: 2,
+      balancer_count: 2,
       without_agents: false,
       without_routes: false,
       workers: 1,
     }
   }
 
-  /// How many balancers it starts with.
+  /// Sets how many balancers are started.
   pub fn balancers(mut self, count: u8) -> Self {
-    self.wanted_balancers = count;
+    self.balancer_count = count;
     self
   }
 
-  /// How many connections each target may hold.
+  /// Sets the connection limit of each target.
   pub fn connections(mut self, count: u32) -> Self {
     self.connections = count;
     self
   }
 
-  /// How long a request may wait and run.
+  /// Sets the deadline of requests, which covers their time in the queue.
   pub fn deadline_ms(mut self, milliseconds: u64) -> Self {
     self.deadline_ms = milliseconds;
     self
   }
 
-  /// How long leaving targets keep their flows.
+  /// Sets how long a target that is draining keeps its flows.
   pub fn drain_s(mut self, seconds: u64) -> Self {
     self.drain_s = seconds;
     self
   }
 
-  /// Puts the fault-injecting fabric between all processes, not only before the balancers.
+  /// Relays the traffic between all processes through the fabric, which can then inject faults
+  /// there.
   pub fn relayed(mut self) -> Self {
     self.relayed = true;
     self
   }
 
-  /// Where the processes send their metrics.
+  /// Sets the `StatsD` server of the balancers.
   pub fn metrics(mut self, server: SocketAddr) -> Self {
     self.metrics = Some(server);
     self
   }
 
-  /// States nothing of the requests, so that none is handed from target to target.
+  /// Publishes services without routes, which disables the hand-off of requests between targets.
   pub fn without_routes(mut self) -> Self {
     self.without_routes = true;
     self
   }
 
-  /// How many requests each target runs at once.
+  /// Sets how many requests each target runs at once.
   pub fn slots(mut self, slots: u32) -> Self {
     self.slots = slots;
     self
   }
 
-  /// Makes a target's upstream work so many times as long.
-  pub fn slow(mut self, target: u32, times: u32) -> Self {
-    self.slow = Some((target, times));
+  /// Multiplies the working time of the upstreams with this target number.
+  pub fn slow(mut self, target: u32, factor: u32) -> Self {
+    self.slow_target = Some(target);
+    self.slowness = factor;
     self
   }
 
-  /// Starts no agents: something else stands at their addresses.
+  /// Starts neither agents nor upstreams; the caller binds the agents' addresses itself.
   pub fn without_agents(mut self) -> Self {
     self.without_agents = true;
     self
   }
 
-  /// A service with targets 1 to `targets`.
+  /// Adds a service with targets 1 to `targets`.
   pub fn service(mut self, id: u16, targets: u32) -> Self {
     self.services.insert(id, (1..=targets).collect());
     self
   }
 
-  /// Starts all and waits until each is ready.
+  /// Starts all processes and waits until they are ready.
   pub async fn start(mut self) -> Self {
     let listen = self.platform_address().to_string();
     self.platform = Some(self.standin(&["platform", "--listen", &listen]));
@@ -206,13 +224,13 @@
     self.start_fabric();
     let keyring = json!(self.keyring).to_string();
     self.put("keyring", &keyring).await;
-    for number in 1..=self.wanted_balancers {
-      self.list_balancer(number, Presence::Live).await;
+    for number in 1..=self.balancer_count {
+      self.publish_balancer(number, Presence::Live).await;
     }
     for service in self.services.keys().copied().collect::<Vec<_>>() {
       self.publish(service).await;
     }
-    for number in 1..=self.wanted_balancers {
+    for number in 1..=self.balancer_count {
       self.start_balancer(number);
     }
     if !self.without_agents {
@@ -222,13 +240,13 @@
         }
       }
     }
-    self.ready().await;
+    self.wait_all_ready().await;
     self
   }
 }
 
-/// What the operator of the tests says of the upstream stand-in's requests.
-fn routes(deadline_ms: u64) -> Vec<config::Route> {
+/// Routes for the requests that the upstream stand-in serves.
+fn upstream_routes(deadline_ms: u64) -> Vec<config::Route> {
   let route = |method: &str, path: &str| config::Route {
     deadline_ms,
     method: method.into(),
@@ -252,29 +270,34 @@
   ]
 }
 
-fn logging() -> fallwell::logging::Settings {
+fn debug_logging() -> fallwell::logging::Settings {
   fallwell::logging::Settings {
     level: "debug".into(),
     ..fallwell::logging::Settings::default()
   }
 }
 
-/// Agents stand at 81 to 110, twenty to a service; relayed ones are listed 60 higher.
+/// The last octet of the address of an agent and its upstream: 15 numbers for each service.
 fn agent_host(service: u16, target: u32) -> u8 {
   70 + service as u8 * 15 + target as u8
 }
 
-/// Reads JSON from a process's API.
+/// Reads JSON from the HTTP API of a process or stand-in.
 pub async fn get(api: SocketAddr, path: &str) -> Value {
-  let (_, body) = web::request(api, Method::GET, path, "", CALL_MAX)
+  let (_, body) = web::request(api, Method::GET, path, "", CALL_TIMEOUT)
     .await
-    .expect("api answers");
-  serde_json::from_slice(&body).expect("json")
+    .expect("API answers");
+  serde_json::from_slice(&body).expect("JSON")
 }
 
-fn certificate(directory: &std::path::Path) -> CertificateDer<'static> {
-  let made = rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
-  fs::write(directory.join("certificate.pem"), made.cert.pem()).expect("certificate file");
-  fs::write(directory.join("key.pem"), made.signing_key.serialize_pem()).expect("key file");
-  made.cert.der().clone()
+/// Writes a self-signed certificate and its key into the directory.
+fn create_certificate(directory: &std::path::Path) -> CertificateDer<'static> {
+  let certified_key = rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
+  fs::write(directory.join("certificate.pem"), certified_key.cert.pem()).expect("certificate file");
+  fs::write(
+    directory.join("key.pem"),
+    certified_key.signing_key.serialize_pem(),
+  )
+  .expect("key file");
+  certified_key.cert.der().clone()
 }
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -1,7 +1,7 @@
-//! What an operator and the field do: publish, cut, renew.
+//! Configuration changes and injected faults.
 
 use {
-  super::{CALL_MAX, Fleet, certificate, get, routes},
+  super::{CALL_TIMEOUT, Fleet, create_certificate, get, upstream_routes},
   crate::support::wait::until,
   fallwell::{
     config::{self, Presence, Role},
@@ -14,7 +14,7 @@
 };
 
 impl Fleet {
-  /// Publishes a document as an operator does, and returns its revision.
+  /// Publishes a document through the API of the platform and returns its revision.
   pub async fn put(&self, key: &str, text: &str) -> u64 {
     let path = format!("/v1/documents/{key}");
     let answer = web::request(
@@ -22,21 +22,21 @@
       Method::PUT,
       &path,
       text.to_owned(),
-      CALL_MAX,
+      CALL_TIMEOUT,
     );
-    let (_, body) = answer.await.expect("platform takes a document");
+    let (_, body) = answer.await.expect("platform accepts a document");
     let value: Value = serde_json::from_slice(&body).expect("revision");
     value["revision"].as_u64().expect("revision")
   }
 
-  /// Publishes a service as it is wanted now.
+  /// Publishes the current document of a service as a new generation and returns its revision.
   pub async fn publish(&mut self, service: u16) -> u64 {
     self.generation += 1;
     let document = json!(self.document(service)).to_string();
     self.put(&format!("service/{service}"), &document).await
   }
 
-  /// The document of a service as it is wanted now.
+  /// The current document of a service, published or not.
   pub fn document(&self, service: u16) -> config::Service {
     let targets = self.services[&service]
       .iter()
@@ -59,62 +59,62 @@
       routes: if self.without_routes {
         Vec::new()
       } else {
-        routes(self.deadline_ms)
+        upstream_routes(self.deadline_ms)
       },
       targets,
     }
   }
 
-  /// Puts a balancer on the list of instances.
-  pub async fn list_balancer(&self, number: u8, presence: Presence) {
+  /// Publishes the instance document of a balancer.
+  pub async fn publish_balancer(&self, number: u8, presence: Presence) {
     let instance = config::Instance {
-      control: self.listed_balancer(number, 7100),
+      control: self.published_balancer(number, 7100),
       data_centre: "ernakulam".into(),
       id: id::Instance(number.into()),
       presence,
       role: Role::Balancer,
-      tunnel: self.listed_balancer(number, 7200),
+      tunnel: self.published_balancer(number, 7200),
     };
     let text = json!(instance).to_string();
     self.put(&format!("instance/{number}"), &text).await;
   }
 
-  /// Sets the platform's condition: `up`, `down` or `stale`.
+  /// Sets the condition of the platform: `up`, `down` (no answers) or `stale` (an old copy).
   pub async fn platform_condition(&self, condition: &str) {
     let answer = web::request(
       self.platform_address(),
       Method::POST,
       "/v1/condition",
       condition.to_owned(),
-      CALL_MAX,
+      CALL_TIMEOUT,
     );
-    answer.await.expect("platform takes a condition");
+    answer.await.expect("platform accepts a condition");
   }
 
-  /// Has the fabric spray a service's packets to these balancers.
+  /// Makes the fabric distribute the packets of a service over these balancers only.
   pub async fn spray(&self, service: u16, balancers: &[u8]) {
-    let backs = balancers.iter().map(|number| self.entry(*number, service));
-    let front = json!({ "backs": backs.collect::<Vec<_>>(), "listen": self.address(service) });
-    self.fabric_post("/v1/front", &front).await;
+    let addresses = balancers.iter().map(|number| self.entry(*number, service));
+    let front = json!({ "backs": addresses.collect::<Vec<_>>(), "listen": self.address(service) });
+    self.post_to_fabric("/v1/front", &front).await;
   }
 
-  /// Has the fabric inject faults.
+  /// Replaces the faults that the fabric injects.
   pub async fn plan(&self, plan: &Plan) {
-    self.fabric_post("/v1/plan", &json!(plan)).await;
+    self.post_to_fabric("/v1/plan", &json!(plan)).await;
   }
 
-  /// What the fabric has carried.
+  /// The traffic counters of the fabric.
   pub async fn fabric_figures(&self) -> Value {
     get(self.fabric_address(), "/v1/figures").await
   }
 
-  pub(super) async fn fabric_post(&self, path: &str, body: &Value) {
+  pub(super) async fn post_to_fabric(&self, path: &str, body: &Value) {
     let answer = web::request(
       self.fabric_address(),
       Method::POST,
       path,
       body.to_string(),
-      CALL_MAX,
+      CALL_TIMEOUT,
     );
     let (status, _) = answer.await.expect("fabric answers");
     assert_eq!(status, StatusCode::OK);
@@ -138,13 +138,14 @@
     .await;
   }
 
-  pub(super) async fn reads(&self) -> u64 {
+  pub(super) async fn platform_reads(&self) -> u64 {
     let figures = get(self.platform_address(), "/v1/figures").await;
     figures["reads"].as_u64().expect("reads")
   }
 
-  /// Replaces the platform by one that has only an old copy, with lower revisions.
-  pub async fn platform_goes_back(&mut self, service: u16, document: &str) {
+  /// Replaces the platform by one with only this document, whose revisions start again from the
+  /// lowest.
+  pub async fn replace_platform(&mut self, service: u16, document: &str) {
     self.platform = None;
     let listen = self.platform_address().to_string();
     self.platform = Some(self.standin(&["platform", "--listen", &listen]));
@@ -152,18 +153,19 @@
     self.put(&format!("service/{service}"), document).await;
   }
 
-  /// The targets of a service, to be changed before it is published again.
+  /// The targets of a service; [`Self::publish`] publishes a change.
   pub fn targets(&mut self, service: u16) -> &mut Vec<u32> {
     self.services.get_mut(&service).expect("service")
   }
 
-  /// The keyring, to be changed before it is published again.
+  /// The keyring; [`Self::publish_keyring`] publishes a change.
   pub fn keyring(&mut self) -> &mut config::Keyring {
     &mut self.keyring
   }
 
-  /// Makes a new certificate and key in the files that agents read, and trusts it from now on.
+  /// Replaces the certificate and key in the files of the agents; flows opened from now on trust
+  /// only the new certificate.
   pub fn renew_certificate(&mut self) {
-    self.certificate = certificate(&self.directory);
+    self.certificate = create_certificate(&self.directory);
   }
 }
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -1,7 +1,7 @@
-//! Processes, started and ended.
+//! Starting and stopping the processes of a fleet.
 
 use {
-  super::{AGENT, BALANCER, CALL_MAX, Fleet, STANDIN, agent_host, ip, logging},
+  super::{AGENT, BALANCER, CALL_TIMEOUT, Fleet, STANDIN, agent_host, debug_logging},
   crate::support::{child::Child, wait::until},
   fallwell::{id, settings, web},
   http::Method,
@@ -16,52 +16,52 @@
       self.fabric_address().to_string(),
     ];
     for service in self.services.keys() {
-      let backs =
-        (1..=self.wanted_balancers).map(|number| self.entry(number, *service).to_string());
-      let backs = backs.collect::<Vec<_>>().join(",");
+      let balancers =
+        (1..=self.balancer_count).map(|number| self.entry(number, *service).to_string());
+      let balancers = balancers.collect::<Vec<_>>().join(",");
       arguments.push("--front".into());
-      arguments.push(format!("{}={backs}", self.address(*service)));
+      arguments.push(format!("{}={balancers}", self.address(*service)));
     }
     if self.relayed {
-      for number in 1..=self.wanted_balancers + 2 {
-        let (listed, real) = (self.platform_front(number), self.platform_address());
+      for number in 1..=self.balancer_count + 2 {
+        let (front, back) = (self.platform_front(number), self.platform_address());
         arguments.push("--front".into());
-        arguments.push(format!("{listed}={real}"));
+        arguments.push(format!("{front}={back}"));
       }
-      for (listed, real) in self.relays() {
+      for (front, back) in self.relays() {
         arguments.push("--front".into());
-        arguments.push(format!("{listed}={real}"));
+        arguments.push(format!("{front}={back}"));
       }
     }
     self.fabric = Some(self.standin(&arguments));
   }
 
-  /// Starts a balancer, or starts it again.
+  /// Starts or restarts a balancer.
   pub fn start_balancer(&mut self, number: u8) {
-    let peers = (1..=self.wanted_balancers)
+    let peers = (1..=self.balancer_count)
       .filter(|other| *other != number)
-      .map(|other| self.listed_balancer(other, 7100))
+      .map(|other| self.published_balancer(other, 7100))
       .collect();
     let settings = settings::Balancer {
       api: self.balancer_api(number),
-      bind: Some(ip(self.net.octets, 10 + number)),
-      control: self.listed_balancer(number, 7100),
+      bind: Some(self.addresses.ip(10 + number)),
+      control: self.published_balancer(number, 7100),
       data_centre: "ernakulam".into(),
       instance: id::Instance(number.into()),
       linger_ms: 1000,
       metrics: self.metrics,
       peers,
       platform: self.platform_front(number),
-      tunnel: self.listed_balancer(number, 7200),
+      tunnel: self.published_balancer(number, 7200),
       workers: self.workers,
       ..settings::Balancer::default()
     };
     let name = format!("balancer-{number}");
-    let child = self.program(BALANCER, &name, &settings);
+    let child = self.start_program(BALANCER, &name, &settings);
     self.balancers.insert(number, child);
   }
 
-  /// Starts an upstream and the agent beside it.
+  /// Starts an upstream and its agent.
   pub fn start_target(&mut self, service: u16, target: u32) {
     self.spawn_upstream(service, target);
     self.start_agent(service, target);
@@ -70,8 +70,8 @@
   pub(super) fn spawn_upstream(&mut self, service: u16, target: u32) {
     let upstream = self.upstream_address(service, target).to_string();
     let name = format!("{service}-{target}");
-    let slowness = match self.slow {
-      Some((slow, times)) if slow == target => times.to_string(),
+    let slowness = match self.slow_target {
+      Some(slow) if slow == target => self.slowness.to_string(),
       _ => "1".to_owned(),
     };
     let arguments = [
@@ -87,41 +87,43 @@
     self.upstreams.insert((service, target), child);
   }
 
-  /// Starts an upstream again and waits until it answers.
+  /// Starts or restarts an upstream and waits until it answers.
   pub async fn start_upstream(&mut self, service: u16, target: u32) {
     self.spawn_upstream(service, target);
     let upstream = self.upstream_address(service, target);
     until("an upstream answers", || async {
-      let answer = web::request(upstream, Method::GET, "/journal", "", CALL_MAX).await;
+      let answer = web::request(upstream, Method::GET, "/journal", "", CALL_TIMEOUT).await;
       answer.is_ok()
     })
     .await;
   }
 
-  /// Kills an upstream; its agent stays.
+  /// Kills an upstream and leaves its agent running.
   pub fn kill_upstream(&mut self, service: u16, target: u32) {
     self.upstreams.remove(&(service, target));
   }
 
-  /// Starts an agent, or starts it again.
+  /// Starts or restarts an agent.
   pub fn start_agent(&mut self, service: u16, target: u32) {
     self.start_agent_as((service, target), (service, target));
   }
 
-  pub(super) fn start_agent_as(&mut self, place: (u16, u32), identity: (u16, u32)) {
-    let (service, target) = place;
+  /// Starts an agent at the address of one target with the settings of another, each a service
+  /// and target number.
+  pub(super) fn start_agent_as(&mut self, address_of: (u16, u32), identity: (u16, u32)) {
+    let (service, target) = address_of;
     let host = agent_host(service, target);
     let settings = settings::Agent {
       api: self.agent_api(service, target),
-      bind: Some(ip(self.net.octets, host)),
+      bind: Some(self.addresses.ip(host)),
       certificate: self.directory.join("certificate.pem"),
       control: self.listed_agent(service, target, 7100),
       data_centre: "ernakulam".into(),
-      log: logging(),
+      log: debug_logging(),
       instance: id::Instance(1000 + u32::from(service) * 100 + target),
       key: self.directory.join("key.pem"),
-      peers: (1..=self.wanted_balancers)
-        .map(|number| self.listed_balancer(number, 7100))
+      peers: (1..=self.balancer_count)
+        .map(|number| self.published_balancer(number, 7100))
         .collect(),
       platform: self.platform_address(),
       service: id::Service(identity.0),
@@ -131,18 +133,25 @@
       ..settings::Agent::default()
     };
     let name = format!("agent-{service}-{target}");
-    let child = self.program(AGENT, &name, &settings);
+    let child = self.start_program(AGENT, &name, &settings);
     self.agents.insert((service, target), child);
   }
 
-  /// Kills a target's agent and starts one of another service at its address.
-  pub async fn replace_agent_by(&mut self, service: u16, target: u32, other: u16, as_target: u32) {
+  /// Kills a target's agent and starts that of another service's target at its address.
+  pub async fn replace_agent(
+    &mut self,
+    service: u16,
+    target: u32,
+    new_service: u16,
+    new_target: u32,
+  ) {
     self.agent(service, target).kill();
-    self.start_agent_as((service, target), (other, as_target));
+    self.start_agent_as((service, target), (new_service, new_target));
     self.wait_ready(self.agent_api(service, target)).await;
   }
 
-  pub(super) fn program(
+  /// Starts a program with its settings file and log file in the fleet's directory.
+  pub(super) fn start_program(
     &self,
     program: &str,
     name: &str,
@@ -154,6 +163,7 @@
     Child::start(program, &["--settings", &file.display().to_string()], &log)
   }
 
+  /// Starts the stand-in program with these arguments.
   pub fn standin<S: AsRef<std::ffi::OsStr>>(&self, arguments: &[S]) -> Child {
     Child::start(STANDIN, arguments, &self.directory.join("standins.log"))
   }
@@ -163,14 +173,14 @@
     self.balancers.get_mut(&number).expect("balancer")
   }
 
-  /// Freezes an agent.
-  pub fn freeze_agent(&self, service: u16, target: u32) {
-    self.agents[&(service, target)].freeze();
+  /// Suspends an agent with SIGSTOP; unlike [`Self::agent`], by a shared reference.
+  pub fn suspend_agent(&self, service: u16, target: u32) {
+    self.agents[&(service, target)].suspend();
   }
 
-  /// Lets a frozen agent go on.
-  pub fn thaw_agent(&self, service: u16, target: u32) {
-    self.agents[&(service, target)].thaw();
+  /// Resumes a suspended agent.
+  pub fn resume_agent(&self, service: u16, target: u32) {
+    self.agents[&(service, target)].resume();
   }
 
   /// An agent's process.
--- a/tests/support/fleet/waits.rs
+++ b/tests/support/fleet/waits.rs
@@ -1,7 +1,7 @@
-//! What a test waits for and looks at.
+//! Waiting for the state of processes, reading it, and opening flows.
 
 use {
-  super::{CALL_MAX, Fleet, NAME, get},
+  super::{CALL_TIMEOUT, Fleet, NAME, get},
   crate::support::wait::until,
   fallwell::{caller::Caller, web},
   http::{Method, StatusCode},
@@ -10,8 +10,8 @@
 };
 
 impl Fleet {
-  /// Waits until every process serves.
-  pub async fn ready(&self) {
+  /// Waits until every balancer and agent is ready.
+  pub async fn wait_all_ready(&self) {
     for number in self.balancers.keys() {
       self.wait_ready(self.balancer_api(*number)).await;
     }
@@ -20,10 +20,10 @@
     }
   }
 
-  /// Waits until the process with this API serves.
+  /// Waits until the process with this API is ready.
   pub async fn wait_ready(&self, api: SocketAddr) {
     until("a process is ready", || async {
-      let answer = web::request(api, Method::GET, "/v1/ready", "", CALL_MAX).await;
+      let answer = web::request(api, Method::GET, "/v1/ready", "", CALL_TIMEOUT).await;
       matches!(answer, Ok((StatusCode::OK, _)))
     })
     .await;
@@ -32,35 +32,35 @@
   pub(super) async fn wait_for_platform(&self) {
     until("the platform answers", || async {
       let platform = self.platform_address();
-      web::request(platform, Method::GET, "/v1/figures", "", CALL_MAX)
+      web::request(platform, Method::GET, "/v1/figures", "", CALL_TIMEOUT)
         .await
         .is_ok()
     })
     .await;
   }
 
-  /// Opens a flow to a service.
+  /// Opens a flow to a service; panics if that fails.
   pub async fn caller(&self, service: u16) -> Caller {
     let roots = [self.certificate.clone()];
     Caller::open(self.address(service), NAME, &roots)
       .await
-      .expect("a flow opens")
+      .expect("flow opens")
   }
 
-  /// Opens a flow, or says why not.
+  /// Tries to open a flow to a service.
   pub async fn try_caller(&self, service: u16) -> Result<Caller, fallwell::code::Fault> {
     let roots = [self.certificate.clone()];
     Caller::open(self.address(service), NAME, &roots).await
   }
 
-  /// Waits until balancers have a revision of a service in force.
+  /// Waits until these balancers have applied this revision of a service, or a newer one.
   pub async fn wait_in_force(&self, balancers: &[u8], service: u16, revision: u64) {
     until("a revision is in force", || async {
       for number in balancers {
         let path = format!("/v1/services/{service}");
         let resource = get(self.balancer_api(*number), &path).await;
-        let newest = resource["revision_in_force"].as_u64() >= Some(revision);
-        if !newest || resource["conditions"]["in_force"]["status"] != true {
+        let is_applied = resource["revision_in_force"].as_u64() >= Some(revision);
+        if !is_applied || resource["conditions"]["in_force"]["status"] != true {
           return false;
         }
       }
@@ -69,37 +69,37 @@
     .await;
   }
 
-  /// Waits until a target takes nothing new.
-  pub async fn wait_leaving(&self, service: u16, target: u32) {
-    until("a target leaves", || async {
+  /// Waits until a target is draining: it accepts no new flows.
+  pub async fn wait_draining(&self, service: u16, target: u32) {
+    until("a target is draining", || async {
       self.agent_state(service, target).await["path"]["leaving"] == true
     })
     .await;
   }
 
-  /// Waits until a target has a revision in force and takes new flows.
-  pub async fn wait_taking(&self, service: u16, target: u32, revision: u64) {
-    until("a target takes flows", || async {
+  /// Waits until a target has applied this revision and accepts new flows.
+  pub async fn wait_accepting(&self, service: u16, target: u32, revision: u64) {
+    until("a target accepts flows", || async {
       let path = &self.agent_state(service, target).await["path"];
       path["leaving"] == false && path["revision"].as_u64() >= Some(revision)
     })
     .await;
   }
 
-  /// Waits until a target runs so many requests.
-  pub async fn wait_requests(&self, service: u16, target: u32, count: u64) {
-    until("requests run", || async {
+  /// Waits until a target has at least so many requests in flight.
+  pub async fn wait_for_requests(&self, service: u16, target: u32, count: u64) {
+    until("requests are in flight", || async {
       let state = self.agent_state(service, target).await;
       state["path"]["requests"].as_u64() >= Some(count)
     })
     .await;
   }
 
-  /// Waits until the platform was read so many times more.
-  pub async fn wait_for_reads(&self, count: u64) {
-    let before = self.reads().await;
-    until("the platform is read", || async {
-      self.reads().await >= before + count
+  /// Waits until the platform has been read so many more times.
+  pub async fn wait_for_platform_reads(&self, count: u64) {
+    let before = self.platform_reads().await;
+    until("the platform has been read", || async {
+      self.platform_reads().await >= before + count
     })
     .await;
   }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What tests and benchmarks share: each uses its own part.
+//! Helpers of the integration tests and benchmarks.
 
 pub mod child;
 pub mod feeds;
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,20 +1,25 @@
+//! Polling for a condition.
+
 use std::{
   future::Future,
   time::{Duration, Instant},
 };
 
-/// The longest that a condition is waited for.
-pub const LONGEST: Duration = Duration::from_mins(1);
+/// How long [`until`] waits.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Waits until a condition holds, and fails with its name when it does not in time.
-pub async fn until<F, R>(what: &str, mut holds: F)
+/// Polls a condition until it holds; panics with its description after the timeout.
+pub async fn until<F, R>(description: &str, mut condition: F)
 where
   F: FnMut() -> R,
   R: Future<Output = bool>,
 {
-  let end = Instant::now() + LONGEST;
-  while !holds().await {
-    assert!(Instant::now() < end, "not in time: {what}");
+  let deadline = Instant::now() + TIMEOUT;
+  while !condition().await {
+    assert!(
+      Instant::now() < deadline,
+      "timed out waiting until {description}"
+    );
     tokio::time::sleep(Duration::from_millis(20)).await;
   }
 }
