--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -116,7 +116,7 @@
   let mut fleet = fleet.start().await;
   let count = Arc::new(AtomicU64::new(0));
   let stop = Arc::new(AtomicBool::new(false));
-  let target = fleet.listed_agent(1, 1, 7200);
+  let target = fleet.published_agent(1, 1, 7200);
   sink(target, Arc::clone(&count), Arc::clone(&stop));
   let listen = SocketAddr::new(target.ip(), 7999);
   let relay = fleet.standin(&[
--- a/tests/integration/command.rs
+++ b/tests/integration/command.rs
@@ -273,7 +273,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_hand_off_without_a_valid_tag_is_refused() {
   let fleet = Fleet::new().balancers(1).service(1, 1).start().await;
-  let hand_off_address = fleet.listed_agent(1, 1, 7200);
+  let hand_off_address = fleet.published_agent(1, 1, 7200);
   let answer = web::request(
     hand_off_address,
     Method::POST,
--- a/tests/support/fleet/addresses.rs
+++ b/tests/support/fleet/addresses.rs
@@ -49,7 +49,7 @@
     let mut addresses = vec![self.address(service)];
     addresses.extend(balancers.map(|number| self.published_balancer(*number, 7200)));
     for (service, target) in self.agents.keys() {
-      addresses.push(self.listed_agent(*service, *target, 7200));
+      addresses.push(self.published_agent(*service, *target, 7200));
     }
     addresses
   }
@@ -172,7 +172,7 @@
   }
 
   /// The published address of an agent: that of its relay, if there is one.
-  pub fn listed_agent(&self, service: u16, target: u32, port: u16) -> SocketAddr {
+  pub fn published_agent(&self, service: u16, target: u32, port: u16) -> SocketAddr {
     let host = agent_host(service, target) + if self.relayed { 60 } else { 0 };
     self.addresses.socket_address(host, port)
   }
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -41,7 +41,7 @@
     let targets = self.services[&service]
       .iter()
       .map(|target| config::Target {
-        agent: self.listed_agent(service, *target, 7200),
+        agent: self.published_agent(service, *target, 7200),
         connections: self.connections,
         id: id::Target(*target),
         leaving: false,
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -117,7 +117,7 @@
       api: self.agent_api(service, target),
       bind: Some(self.addresses.ip(host)),
       certificate: self.directory.join("certificate.pem"),
-      control: self.listed_agent(service, target, 7100),
+      control: self.published_agent(service, target, 7100),
       data_centre: "ernakulam".into(),
       log: debug_logging(),
       instance: id::Instance(1000 + u32::from(service) * 100 + target),
@@ -128,7 +128,7 @@
       platform: self.platform_address(),
       service: id::Service(identity.0),
       target: id::Target(identity.1),
-      tunnel: self.listed_agent(service, target, 7200),
+      tunnel: self.published_agent(service, target, 7200),
       upstream: self.upstream_address(service, target),
       ..settings::Agent::default()
     };
