--- a/tests/machines/gossip.rs
+++ b/tests/machines/gossip.rs
@@ -134,7 +134,7 @@
     mesh.confirm(0);
     mesh.run(settings.wait);
     if round >= 10 {
-      oldest = oldest.max(mesh.oldest_word());
+      oldest = oldest.max(mesh.oldest_confirmation());
     }
   }
   println!("oldest confirmation by the platform: {oldest:?}");
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -150,7 +150,7 @@
 
   /// The age of the oldest confirmation by the platform, direct or through peers, over all
   /// replicas.
-  pub fn oldest_word(&self) -> Duration {
+  pub fn oldest_confirmation(&self) -> Duration {
     let now = self.start + self.elapsed;
     let ages = self.machines.iter().map(|machine| machine.confirmed(now));
     let ages = ages.map(|age| age.unwrap_or(Duration::MAX));
