--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -64,9 +64,9 @@
     times.sort_unstable();
     let healed = heal(&mut mesh, 250_000);
     // A data centre is gone, and the list does not know yet.
-    mesh.cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
+    mesh.is_cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
     let (gone, _) = spread(&mut mesh, 300_000, quiet, |index| index % 5 != 0);
-    mesh.cut = Box::new(|_, _| false);
+    mesh.is_cut = Box::new(|_, _| false);
     mesh.run(Duration::from_secs(30));
     mesh.loss = 0.2;
     let (lossy, _) = spread(&mut mesh, 400_000, quiet, |_| true);
@@ -83,14 +83,14 @@
 /// Two halves apart for a minute, each with ten changes of its own: how long until all agree.
 fn heal(mesh: &mut Mesh, first: u64) -> u128 {
   let carriers = mesh.machines.len();
-  mesh.cut = Box::new(move |a, b| (a < carriers / 2) != (b < carriers / 2));
+  mesh.is_cut = Box::new(move |a, b| (a < carriers / 2) != (b < carriers / 2));
   for change in 0..10_u64 {
     let id = 2 + change as u16;
     mesh.publish(0, service(id, 7, first + change));
     mesh.publish(carriers - 1, service(id + 10, 7, first + 100 + change));
     mesh.run(Duration::from_secs(6));
   }
-  mesh.cut = Box::new(|_, _| false);
+  mesh.is_cut = Box::new(|_, _| false);
   let agreed = mesh.run_until(Duration::from_mins(1), |machines| {
     let first = machines[0].store().digest();
     machines
--- a/tests/machines/gossip.rs
+++ b/tests/machines/gossip.rs
@@ -47,7 +47,7 @@
 #[test]
 fn a_change_reaches_all_reachable_processes_when_a_fifth_is_down_but_listed() {
   let mut mesh = Mesh::new(100, &records(100), 12);
-  mesh.cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
+  mesh.is_cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
   mesh.run(Duration::from_secs(10));
   for change in 0..10 {
     let revision = 5000 + change;
@@ -65,12 +65,12 @@
 #[test]
 fn both_sides_of_a_partition_converge_on_the_newest_revision() {
   let mut mesh = Mesh::new(20, &records(20), 3);
-  mesh.cut = Box::new(|a, b| (a < 10) != (b < 10));
+  mesh.is_cut = Box::new(|a, b| (a < 10) != (b < 10));
   mesh.publish(1, service(1, 7, 5000));
   mesh.publish(15, service(1, 8, 6000));
   mesh.run(Duration::from_secs(3));
   assert!(!all_have(6000)(&mesh.machines));
-  mesh.cut = Box::new(|_, _| false);
+  mesh.is_cut = Box::new(|_, _| false);
   assert!(mesh.run_until(FIVE_SECONDS * 2, all_have(6000)).is_some());
   let digests = mesh.machines.iter().map(|machine| machine.store().digest());
   let mut digests = digests.collect::<Vec<_>>();
@@ -92,10 +92,10 @@
 #[test]
 fn a_process_that_was_cut_off_catches_up_and_reverts_no_other() {
   let mut mesh = Mesh::new(10, &records(10), 5);
-  mesh.cut = Box::new(|a, b| a == 9 || b == 9);
+  mesh.is_cut = Box::new(|a, b| a == 9 || b == 9);
   mesh.publish(0, service(1, 7, 5000));
   mesh.run(Duration::from_secs(5));
-  mesh.cut = Box::new(|_, _| false);
+  mesh.is_cut = Box::new(|_, _| false);
   assert!(mesh.run_until(FIVE_SECONDS, all_have(5000)).is_some());
   for machine in &mesh.machines {
     assert_eq!(machine.store().reversions(), 0);
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -29,7 +29,7 @@
   pub messages: BTreeMap<&'static str, u64>,
   pub machines: Vec<Machine>,
   /// Whether messages from the first machine to the second fail.
-  pub cut: Box<dyn Fn(usize, usize) -> bool>,
+  pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
   /// The probability that a message is lost.
   pub loss: f64,
   arrivals: BinaryHeap<Arrival>,
@@ -114,7 +114,7 @@
     Self {
       arrivals: BinaryHeap::new(),
       bytes: BTreeMap::new(),
-      cut: Box::new(|_, _| false),
+      is_cut: Box::new(|_, _| false),
       elapsed: Duration::ZERO,
       in_flight: HashMap::new(),
       last_number: 0,
@@ -224,7 +224,7 @@
       let Some(receiver) = self.indexes.get(&peer).copied() else {
         continue;
       };
-      if (self.cut)(index, receiver) || self.rng.random_bool(self.loss) {
+      if (self.is_cut)(index, receiver) || self.rng.random_bool(self.loss) {
         if reports_failures {
           self.step(index, Event::Failed(peer, message));
         }
