--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -68,7 +68,7 @@
     let (gone, _) = spread(&mut mesh, 300_000, quiet, |index| index % 5 != 0);
     mesh.is_cut = Box::new(|_, _| false);
     mesh.run(Duration::from_secs(30));
-    mesh.loss = 0.2;
+    mesh.loss_probability = 0.2;
     let (lossy, _) = spread(&mut mesh, 400_000, quiet, |_| true);
     println!(
       "{carriers:>9} | {:>13} | {:>8} | {:>22} | {:>18} | {healed:>9} | {quiet:>16.0} | {cost:>17.0} | {tick:>9.1}",
--- a/tests/machines/gossip.rs
+++ b/tests/machines/gossip.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_change_reaches_all_when_a_third_of_the_messages_is_lost() {
   let mut mesh = Mesh::new(60, &records(60), 2);
-  mesh.loss = 0.33;
+  mesh.loss_probability = 0.33;
   mesh.publish(7, service(1, 7, 5000));
   let took = mesh.run_until(FIVE_SECONDS * 2, all_have(5000));
   assert!(took.is_some());
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -31,7 +31,7 @@
   /// Whether messages from the first machine to the second fail.
   pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
   /// The probability that a message is lost.
-  pub loss: f64,
+  pub loss_probability: f64,
   arrivals: BinaryHeap<Arrival>,
   elapsed: Duration,
   in_flight: HashMap<u64, Message>,
@@ -118,7 +118,7 @@
       elapsed: Duration::ZERO,
       in_flight: HashMap::new(),
       last_number: 0,
-      loss: 0.0,
+      loss_probability: 0.0,
       messages: BTreeMap::new(),
       indexes: (0..replicas).map(|index| (address(index), index)).collect(),
       next_ticks: next_ticks.collect(),
@@ -224,7 +224,7 @@
       let Some(receiver) = self.indexes.get(&peer).copied() else {
         continue;
       };
-      if (self.is_cut)(index, receiver) || self.rng.random_bool(self.loss) {
+      if (self.is_cut)(index, receiver) || self.rng.random_bool(self.loss_probability) {
         if reports_failures {
           self.step(index, Event::Failed(peer, message));
         }
