--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -127,7 +127,7 @@
     &target.to_string(),
   ]);
   thread::sleep(Duration::from_millis(300));
-  let entry = fleet.entry(1, 1);
+  let entry = fleet.balancer_service_address(1, 1);
   println!("packets of {SIZE} bytes, {SENDERS} senders, one thread each:");
   let mut ratios = Vec::new();
   for round in 1..=3 {
--- a/tests/support/fleet/addresses.rs
+++ b/tests/support/fleet/addresses.rs
@@ -128,7 +128,7 @@
   }
 
   /// The address at which a balancer receives a service's packets from the fabric.
-  pub fn entry(&self, number: u8, service: u16) -> SocketAddr {
+  pub fn balancer_service_address(&self, number: u8, service: u16) -> SocketAddr {
     self.addresses.socket_address(10 + number, 4433 + service)
   }
 
