--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -119,7 +119,7 @@
   let target = fleet.published_agent(1, 1, 7200);
   sink(target, Arc::clone(&count), Arc::clone(&stop));
   let listen = SocketAddr::new(target.ip(), 7999);
-  let relay = fleet.standin(&[
+  let relay = fleet.start_standin(&[
     "relay",
     "--listen",
     &listen.to_string(),
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -219,7 +219,7 @@
   /// Starts all processes and waits until they are ready.
   pub async fn start(mut self) -> Self {
     let listen = self.platform_address().to_string();
-    self.platform = Some(self.standin(&["platform", "--listen", &listen]));
+    self.platform = Some(self.start_standin(&["platform", "--listen", &listen]));
     self.wait_for_platform().await;
     self.start_fabric();
     let keyring = json!(self.keyring).to_string();
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -148,7 +148,7 @@
   pub async fn replace_platform(&mut self, service: u16, document: &str) {
     self.platform = None;
     let listen = self.platform_address().to_string();
-    self.platform = Some(self.standin(&["platform", "--listen", &listen]));
+    self.platform = Some(self.start_standin(&["platform", "--listen", &listen]));
     self.wait_for_platform().await;
     self.put(&format!("service/{service}"), document).await;
   }
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -33,7 +33,7 @@
         arguments.push(format!("{front}={back}"));
       }
     }
-    self.fabric = Some(self.standin(&arguments));
+    self.fabric = Some(self.start_standin(&arguments));
   }
 
   /// Starts or restarts a balancer.
@@ -83,7 +83,7 @@
       "--slowness",
       &slowness,
     ];
-    let child = self.standin(&arguments);
+    let child = self.start_standin(&arguments);
     self.upstreams.insert((service, target), child);
   }
 
@@ -164,7 +164,7 @@
   }
 
   /// Starts the stand-in program with these arguments.
-  pub fn standin<S: AsRef<std::ffi::OsStr>>(&self, arguments: &[S]) -> Child {
+  pub fn start_standin<S: AsRef<std::ffi::OsStr>>(&self, arguments: &[S]) -> Child {
     Child::start(STANDIN, arguments, &self.directory.join("standins.log"))
   }
 
