--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -198,7 +198,7 @@
   }
 
   /// Multiplies the working time of the upstreams with this target number.
-  pub fn slow(mut self, target: u32, factor: u32) -> Self {
+  pub fn slow_upstream(mut self, target: u32, factor: u32) -> Self {
     self.slow_target = Some(target);
     self.slowness = factor;
     self
