--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -87,7 +87,7 @@
     }
     let cuts = vec![fleet.cut_from_platform(1), fleet.cut_from_platform(2)];
     fleet
-      .plan(&Plan {
+      .inject_faults(&Plan {
         cuts,
         ..Plan::default()
       })
@@ -96,7 +96,7 @@
     for _ in 0..10 {
       half.push(in_force(&mut fleet).await.as_millis());
     }
-    fleet.plan(&Plan::default()).await;
+    fleet.inject_faults(&Plan::default()).await;
     println!(
       "  publishing to in force on {BALANCERS}, ms: healthy {healthy:?}; platform out of reach of half {half:?}"
     );
--- a/tests/integration/broken_flows.rs
+++ b/tests/integration/broken_flows.rs
@@ -75,10 +75,10 @@
     loss: 0.05,
     ..Plan::default()
   };
-  fleet.plan(&plan).await;
+  fleet.inject_faults(&plan).await;
   let feeds = Feeds::open(&fleet, 1, 8).await;
   feeds.wait_for_lines(40).await;
-  fleet.plan(&Plan::default()).await;
+  fleet.inject_faults(&Plan::default()).await;
   feeds
     .assert_intact("5% lost, 5% duplicated, delays up to 20 ms")
     .await;
@@ -212,7 +212,7 @@
   let mut cuts = fleet.cuts_between_balancers(&[3], &[1, 2]);
   cuts.push(fleet.cut_from_platform(3));
   fleet
-    .plan(&Plan {
+    .inject_faults(&Plan {
       cuts,
       ..Plan::default()
     })
@@ -236,7 +236,7 @@
   newer
     .assert_intact("newer flows, a balancer with outdated configuration")
     .await;
-  fleet.plan(&Plan::default()).await;
+  fleet.inject_faults(&Plan::default()).await;
   fleet.wait_in_force(&[3], 1, revision).await;
 }
 
@@ -253,7 +253,7 @@
   cuts.extend(fleet.cuts_to_agents(1, &[1, 2], &[3, 4]));
   cuts.extend(fleet.cuts_to_agents(1, &[3, 4], &[1, 2]));
   fleet
-    .plan(&Plan {
+    .inject_faults(&Plan {
       cuts,
       ..Plan::default()
     })
@@ -265,7 +265,7 @@
   newer
     .assert_intact("flows opened during the partition")
     .await;
-  fleet.plan(&Plan::default()).await;
+  fleet.inject_faults(&Plan::default()).await;
   newer
     .assert_intact("flows opened during the partition, after it")
     .await;
--- a/tests/integration/requests.rs
+++ b/tests/integration/requests.rs
@@ -340,7 +340,7 @@
   cuts.extend(fleet.cuts_between_agents(1, &[1, 2], &[3, 4]));
   cuts.extend([fleet.cut_from_platform(3), fleet.cut_from_platform(4)]);
   fleet
-    .plan(&Plan {
+    .inject_faults(&Plan {
       cuts,
       ..Plan::default()
     })
@@ -364,7 +364,7 @@
   confirm_all(&fleet, &first_keys, 2, &mut statuses).await;
   fleet.spray(1, &[1, 2]).await;
   confirm_all(&fleet, &second_keys, 2, &mut statuses).await;
-  fleet.plan(&Plan::default()).await;
+  fleet.inject_faults(&Plan::default()).await;
   fleet.spray(1, &[1, 2, 3, 4]).await;
   fleet.wait_in_force(&[3, 4], 1, revision).await;
   let all = first_keys
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -99,7 +99,7 @@
   }
 
   /// Replaces the faults that the fabric injects.
-  pub async fn plan(&self, plan: &Plan) {
+  pub async fn inject_faults(&self, plan: &Plan) {
     self.post_to_fabric("/v1/plan", &json!(plan)).await;
   }
 
