--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -75,7 +75,7 @@
       .as_secs_f64()
       / QUIET.as_secs_f64();
     let bytes = (control_bytes(&fleet.balancer_state(1).await) - bytes) / QUIET.as_secs();
-    let memory = fleet.balancer(1).memory() as f64 / 1e6;
+    let memory = fleet.balancer(1).resident_bytes() as f64 / 1e6;
     println!(
       "{services} services, {instances} instances: {memory:.1} MB, {:.2}% of a core, {bytes} control bytes/s by the codec, {carried} \
        in and out as carried",
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -41,9 +41,9 @@
       .buffer_unordered(50);
     flows.extend(opened.collect::<Vec<_>>().await);
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
-    let agent = fleet.agent(1, 1).memory();
+    let agent = fleet.agent(1, 1).resident_bytes();
     let agent_used = fleet.agent(1, 1).processor_time().saturating_sub(used.0);
-    let balancer = fleet.balancer(1).memory();
+    let balancer = fleet.balancer(1).resident_bytes();
     let balancer_used = fleet.balancer(1).processor_time().saturating_sub(used.1);
     let each = |time: std::time::Duration| time.as_secs_f64() * 1e3 / fresh.max(1) as f64;
     println!(
--- a/tests/support/child.rs
+++ b/tests/support/child.rs
@@ -83,7 +83,7 @@
   }
 
   /// Resident memory, in bytes.
-  pub fn memory(&self) -> u64 {
+  pub fn resident_bytes(&self) -> u64 {
     let status = fs::read_to_string(format!("/proc/{}/status", self.process.id()));
     let status = status.expect("status");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
