--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -56,7 +56,7 @@
     }
     in_force(&mut fleet).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let used = fleet.balancer(1).processor_time();
+    let used = fleet.balancer(1).cpu_time();
     let bytes = control_bytes(&fleet.balancer_state(1).await);
     let carried = fleet.fabric_figures().await["stream_bytes"]
       .as_u64()
@@ -70,7 +70,7 @@
     let carried = carried * 2 / QUIET.as_secs() / u64::from(BALANCERS);
     let used = fleet
       .balancer(1)
-      .processor_time()
+      .cpu_time()
       .saturating_sub(used)
       .as_secs_f64()
       / QUIET.as_secs_f64();
--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -93,12 +93,12 @@
   thread::sleep(Duration::from_millis(500));
   let (before, used, begun) = (
     count.load(Ordering::Relaxed),
-    carrier.processor_time(),
+    carrier.cpu_time(),
     Instant::now(),
   );
   thread::sleep(ROUND);
   let packets = (count.load(Ordering::Relaxed) - before) as f64;
-  let processor = carrier.processor_time().saturating_sub(used).as_secs_f64();
+  let processor = carrier.cpu_time().saturating_sub(used).as_secs_f64();
   let time = begun.elapsed().as_secs_f64();
   stop.store(true, Ordering::Relaxed);
   for sender in senders {
--- a/tests/support/child.rs
+++ b/tests/support/child.rs
@@ -73,7 +73,7 @@
   }
 
   /// User and system CPU time used so far.
-  pub fn processor_time(&self) -> Duration {
+  pub fn cpu_time(&self) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("stat");
     let (_, rest) = stat.rsplit_once(')').expect("stat");
     let fields = rest.split_whitespace().collect::<Vec<_>>();
