--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -58,11 +58,11 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     let used = fleet.balancer(1).cpu_time();
     let bytes = control_bytes(&fleet.balancer_state(1).await);
-    let carried = fleet.fabric_figures().await["stream_bytes"]
+    let carried = fleet.fabric_counters().await["stream_bytes"]
       .as_u64()
       .expect("bytes");
     tokio::time::sleep(QUIET).await;
-    let carried = fleet.fabric_figures().await["stream_bytes"]
+    let carried = fleet.fabric_counters().await["stream_bytes"]
       .as_u64()
       .expect("bytes")
       - carried;
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -104,7 +104,7 @@
   }
 
   /// The traffic counters of the fabric.
-  pub async fn fabric_figures(&self) -> Value {
+  pub async fn fabric_counters(&self) -> Value {
     get(self.fabric_address(), "/v1/figures").await
   }
 
