--- a/benches/round_trip.rs
+++ b/benches/round_trip.rs
@@ -17,14 +17,14 @@
     sync::Arc,
     time::{Duration, Instant},
   },
-  support::fleet::{Fleet, NAME},
+  support::fleet::{Fleet, SERVER_NAME},
 };
 
 const REQUESTS: u32 = 4000;
 
 /// A bare HTTP/3 server that asks the upstream for each request.
 fn bare(upstream: SocketAddr) -> (SocketAddr, CertificateDer<'static>) {
-  let made = rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
+  let made = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
   let key = PrivateKeyDer::try_from(made.signing_key.serialize_der()).expect("key");
   let provider = Arc::new(rustls::crypto::ring::default_provider());
   let mut tls = rustls::ServerConfig::builder_with_provider(provider)
@@ -87,7 +87,7 @@
 async fn main() {
   let fleet = Fleet::new().balancers(2).service(1, 1).start().await;
   let (address, certificate) = bare(fleet.upstream_address(1, 1));
-  let direct = Caller::open(address, NAME, &[certificate])
+  let direct = Caller::open(address, SERVER_NAME, &[certificate])
     .await
     .expect("flow");
   let through = fleet.caller(1).await;
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -29,7 +29,7 @@
 const STANDIN: &str = env!("CARGO_BIN_EXE_fallwell-standin");
 
 /// The host name in the test certificates.
-pub const NAME: &str = "service.test";
+pub const SERVER_NAME: &str = "service.test";
 
 /// Timeout of a request to the API of a process or stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -292,7 +292,7 @@
 
 /// Writes a self-signed certificate and its key into the directory.
 fn create_certificate(directory: &std::path::Path) -> CertificateDer<'static> {
-  let certified_key = rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
+  let certified_key = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
   fs::write(directory.join("certificate.pem"), certified_key.cert.pem()).expect("certificate file");
   fs::write(
     directory.join("key.pem"),
--- a/tests/support/fleet/waits.rs
+++ b/tests/support/fleet/waits.rs
@@ -1,7 +1,7 @@
 //! Waiting for the state of processes, reading it, and opening flows.
 
 use {
-  super::{CALL_TIMEOUT, Fleet, NAME, get},
+  super::{CALL_TIMEOUT, Fleet, SERVER_NAME, get},
   crate::support::wait::until,
   fallwell::{caller::Caller, web},
   http::{Method, StatusCode},
@@ -42,7 +42,7 @@
   /// Opens a flow to a service; panics if that fails.
   pub async fn caller(&self, service: u16) -> Caller {
     let roots = [self.certificate.clone()];
-    Caller::open(self.address(service), NAME, &roots)
+    Caller::open(self.address(service), SERVER_NAME, &roots)
       .await
       .expect("flow opens")
   }
@@ -50,7 +50,7 @@
   /// Tries to open a flow to a service.
   pub async fn try_caller(&self, service: u16) -> Result<Caller, fallwell::code::Fault> {
     let roots = [self.certificate.clone()];
-    Caller::open(self.address(service), NAME, &roots).await
+    Caller::open(self.address(service), SERVER_NAME, &roots).await
   }
 
   /// Waits until these balancers have applied this revision of a service, or a newer one.
