--- a/tests/integration/requests.rs
+++ b/tests/integration/requests.rs
@@ -118,8 +118,8 @@
   let fleet = Fleet::new().balancers(2).service(1, 3).start().await;
   let first = confirm_once(&fleet, "key-1", 3000, 1);
   let others = async {
-    // Agents that have just started answer a retry without a first attempt that the outcome is
-    // unknown, so the retries wait until the first attempt runs.
+    // Agents that have just started answer a retry that arrives before its first attempt with an
+    // unknown outcome, so the retries wait until the first attempt runs.
     until("the first attempt runs", || async {
       run_counts(&fleet, 3).await.contains_key("key-1")
     })
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -80,6 +80,7 @@
 /// Targets, agents and upstreams are identified by service and target number.
 pub struct Fleet {
   agents: BTreeMap<(u16, u32), Child>,
+  balancer_count: u8,
   balancers: BTreeMap<u8, Child>,
   certificate: CertificateDer<'static>,
   connections: u32,
@@ -99,7 +100,6 @@
   slowness: u32,
   slow_target: Option<u32>,
   upstreams: BTreeMap<(u16, u32), Child>,
-  balancer_count: u8,
   without_agents: bool,
   without_routes: bool,
   workers: usize,
@@ -117,6 +117,7 @@
     fs::create_dir_all(&directory).expect("directory");
     Self {
       agents: BTreeMap::new(),
+      balancer_count: 2,
       balancers: BTreeMap::new(),
       certificate: create_certificate(&directory),
       connections: 2000,
@@ -141,7 +142,6 @@
       slowness: 1,
       slow_target: None,
       upstreams: BTreeMap::new(),
-      balancer_count: 2,
       without_agents: false,
       without_routes: false,
       workers: 1,
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -173,7 +173,7 @@
     self.balancers.get_mut(&number).expect("balancer")
   }
 
-  /// Suspends an agent with SIGSTOP; unlike [`Self::agent`], by a shared reference.
+  /// Suspends an agent with SIGSTOP, through a shared reference to the fleet.
   pub fn suspend_agent(&self, service: u16, target: u32) {
     self.agents[&(service, target)].suspend();
   }
