--- a/tests/support/feeds.rs
+++ b/tests/support/feeds.rs
@@ -41,7 +41,7 @@
     self.0.iter().filter(|feed| feed.has_ended()).count()
   }
 
-  /// Waits until every feed has received so many more lines or has ended.
+  /// Waits until every feed has received this many more lines or has ended.
   pub async fn wait_for_lines(&self, count: u64) {
     let before = self.0.iter().map(Feed::lines).collect::<Vec<_>>();
     until("every feed has received more lines", || async {
@@ -52,7 +52,8 @@
     .await;
   }
 
-  /// Asserts that no flow is broken and no feed is corrupt; prints both counts.
+  /// Waits for three more lines of each feed, then asserts that no flow is broken and no feed is
+  /// corrupt; prints both counts.
   pub async fn assert_intact(&self, scenario: &str) {
     self.wait_for_lines(3).await;
     let corrupt = self.0.iter().filter(|feed| feed.is_corrupt()).count();
@@ -87,7 +88,7 @@
       }
     });
     let feed = Self { caller, state };
-    until("a feed has begun", || async {
+    until("a feed has begun or ended", || async {
       feed.lines() > 0 || feed.has_ended()
     })
     .await;
@@ -128,7 +129,7 @@
 }
 
 impl State {
-  /// Checks a line, which holds the upstream's name and a number that rises by one.
+  /// Checks a line, which consists of the upstream's name and the line's number, counted from 0.
   fn record_line(&self, line: &str) {
     let (name, number) = line.split_once(' ').expect("name and number");
     let mut upstream = self.upstream.lock().unwrap();
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -28,7 +28,7 @@
   /// Messages sent, by message kind.
   pub messages: BTreeMap<&'static str, u64>,
   pub machines: Vec<Machine>,
-  /// Whether messages from the first machine to the second fail.
+  /// Whether messages from one machine to another are lost; takes their indexes.
   pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
   /// The probability that a message is lost.
   pub loss_probability: f64,
@@ -62,7 +62,8 @@
   Record::new(Key::Instance(id), Revision(revision), Some(text))
 }
 
-/// A record with a service document of realistic size: four routes and so many targets.
+/// A record with a service document of realistic size: four routes and the given number of
+/// targets.
 pub fn service(id: u16, targets: u32, revision: u64) -> Record {
   let targets = (1..=targets).map(|target| config::Target {
     agent: SocketAddr::from(([127, 6, (id % 250) as u8, target as u8], 7200)),
@@ -128,7 +129,7 @@
     }
   }
 
-  /// Adds an empty replica that knows one other as its seed, and returns its index.
+  /// Adds an empty replica with one other as its seed, and returns its index.
   pub fn join(&mut self, seed: usize) -> usize {
     let index = self.machines.len();
     self.machines.push(Machine::new(
@@ -143,7 +144,7 @@
     index
   }
 
-  /// Simulates an answer of the platform to one replica that nothing has changed.
+  /// Delivers an answer of the platform without changes to one replica.
   pub fn confirm(&mut self, replica: usize) {
     self.step(replica, Event::Platform(Vec::new()));
   }
@@ -157,7 +158,7 @@
     ages.max().unwrap_or(Duration::MAX)
   }
 
-  /// Simulates an answer of the platform to one replica that a record has changed.
+  /// Delivers an answer of the platform with one changed record to one replica.
   pub fn publish(&mut self, replica: usize, record: Record) {
     self.step(replica, Event::Platform(vec![record]));
   }
@@ -215,7 +216,8 @@
   }
 
   fn step(&mut self, index: usize, event: Event) {
-    // A failure during the report of a failure is not reported.
+    // The loss of a message sent in response to a failure is not reported: this bounds the
+    // recursion.
     let reports_failures = !matches!(event, Event::Failed(..));
     let outgoing = self.machines[index].step(self.start + self.elapsed, event);
     for (peer, message) in outgoing {
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -5,7 +5,7 @@
   time::{Duration, Instant},
 };
 
-/// How long [`until`] waits.
+/// How long [`until`] waits at most.
 pub const TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Polls a condition until it holds; panics with its description after the timeout.
