--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -34,7 +34,7 @@
 /// Timeout of a request to the API of a process or stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Counter that gives each fleet of this process another block of addresses.
+/// Counter that gives each fleet of this process a block of addresses of its own.
 static NEXT_BLOCK: AtomicU32 = AtomicU32::new(0);
 
 /// The loopback addresses `127.X.Y.*`, reserved for one fleet by a bound socket.
@@ -96,7 +96,7 @@
   relayed: bool,
   services: BTreeMap<u16, Vec<u32>>,
   slots: u32,
-  /// Factor on the working time of the upstream of `slow_target`.
+  /// Factor on the working time of the upstreams with the number `slow_target`.
   slowness: u32,
   slow_target: Option<u32>,
   upstreams: BTreeMap<(u16, u32), Child>,
@@ -172,8 +172,8 @@
     self
   }
 
-  /// Relays the traffic between all processes through the fabric, which can then inject faults
-  /// there.
+  /// Relays the control traffic, the tunnels and the balancers' reads of the platform through the
+  /// fabric, which can then inject faults there.
   pub fn relayed(mut self) -> Self {
     self.relayed = true;
     self
@@ -204,7 +204,7 @@
     self
   }
 
-  /// Starts neither agents nor upstreams; the caller binds the agents' addresses itself.
+  /// Starts neither agents nor upstreams; a benchmark may bind the agents' addresses itself.
   pub fn without_agents(mut self) -> Self {
     self.without_agents = true;
     self
--- a/tests/support/fleet/addresses.rs
+++ b/tests/support/fleet/addresses.rs
@@ -17,7 +17,8 @@
 };
 
 impl Fleet {
-  /// Each relay's address and the address behind it, also for processes that a test adds later.
+  /// The address of each relay of a balancer or agent, with the address behind it; includes relays
+  /// for processes that a test adds later.
   pub(super) fn relays(&self) -> Vec<(SocketAddr, SocketAddr)> {
     let mut relays = Vec::new();
     for number in 1..=self.balancer_count + 2 {
@@ -43,7 +44,8 @@
     relays
   }
 
-  /// Every address that receives datagrams: the service address and the tunnels of all processes.
+  /// Addresses that receive datagrams: that of the service and the tunnels of all balancers and
+  /// agents.
   pub fn datagram_addresses(&self, service: u16) -> Vec<SocketAddr> {
     let balancers = self.balancers.keys();
     let mut addresses = vec![self.address(service)];
@@ -54,7 +56,7 @@
     addresses
   }
 
-  /// The API addresses of all processes.
+  /// The API addresses of all balancers and agents.
   pub fn apis(&self) -> Vec<SocketAddr> {
     let balancers = self
       .balancers
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -79,7 +79,8 @@
     self.put(&format!("instance/{number}"), &text).await;
   }
 
-  /// Sets the condition of the platform: `up`, `down` (no answers) or `stale` (an old copy).
+  /// Sets the condition of the platform: `up`, `down` (no answers) or `stale` (answers with the
+  /// documents of this moment, whatever is published later).
   pub async fn platform_condition(&self, condition: &str) {
     let answer = web::request(
       self.platform_address(),
@@ -120,7 +121,7 @@
     assert_eq!(status, StatusCode::OK);
   }
 
-  /// Publishes the keyring and waits until every process has it in force.
+  /// Publishes the keyring and waits until every balancer and agent has it in force.
   pub async fn publish_keyring(&self) {
     let text = json!(self.keyring).to_string();
     self.put("keyring", &text).await;
@@ -143,8 +144,8 @@
     figures["reads"].as_u64().expect("reads")
   }
 
-  /// Replaces the platform by one with only this document, whose revisions start again from the
-  /// lowest.
+  /// Replaces the platform by an empty one, whose revisions start again from the lowest, and
+  /// publishes this document there.
   pub async fn replace_platform(&mut self, service: u16, document: &str) {
     self.platform = None;
     let listen = self.platform_address().to_string();
@@ -163,8 +164,8 @@
     &mut self.keyring
   }
 
-  /// Replaces the certificate and key in the files of the agents; flows opened from now on trust
-  /// only the new certificate.
+  /// Replaces the certificate and key files, which agents read again on reload. Callers that
+  /// connect from now on trust only the new certificate.
   pub fn renew_certificate(&mut self) {
     self.certificate = create_certificate(&self.directory);
   }
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -108,8 +108,8 @@
     self.start_agent_as((service, target), (service, target));
   }
 
-  /// Starts an agent at the address of one target with the settings of another, each a service
-  /// and target number.
+  /// Starts an agent at the address of one target with the identity of another, each a service and
+  /// target number.
   pub(super) fn start_agent_as(&mut self, address_of: (u16, u32), identity: (u16, u32)) {
     let (service, target) = address_of;
     let host = agent_host(service, target);
@@ -137,7 +137,8 @@
     self.agents.insert((service, target), child);
   }
 
-  /// Kills a target's agent and starts that of another service's target at its address.
+  /// Kills a target's agent, starts an agent with another identity at its address and waits until
+  /// that is ready.
   pub async fn replace_agent(
     &mut self,
     service: u16,
--- a/tests/support/fleet/waits.rs
+++ b/tests/support/fleet/waits.rs
@@ -86,7 +86,7 @@
     .await;
   }
 
-  /// Waits until a target has at least so many requests in flight.
+  /// Waits until a target has at least this many requests in flight.
   pub async fn wait_for_requests(&self, service: u16, target: u32, count: u64) {
     until("requests are in flight", || async {
       let state = self.agent_state(service, target).await;
@@ -95,7 +95,7 @@
     .await;
   }
 
-  /// Waits until the platform has been read so many more times.
+  /// Waits until the platform has been read at least this many more times.
   pub async fn wait_for_platform_reads(&self, count: u64) {
     let before = self.platform_reads().await;
     until("the platform has been read", || async {
