--- a/tests/integration/basic_requests.rs
+++ b/tests/integration/basic_requests.rs
@@ -6,7 +6,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn get_and_post_are_answered_in_full_through_several_balancers() {
+async fn bodies_of_get_and_post_arrive_whole_through_two_balancers() {
   let fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let caller = fleet.caller(1).await;
 
--- a/tests/integration/broken_flows.rs
+++ b/tests/integration/broken_flows.rs
@@ -90,7 +90,8 @@
   fleet.platform_condition("stale").await;
   fleet.targets(1).push(3);
   let revision = fleet.publish(1).await;
-  // A stale platform hides the change from watches, so it is up until the change is in force.
+  // A stale platform answers with the documents before the change, so balancers receive the change
+  // only once it is up again.
   fleet.platform_condition("up").await;
   fleet.wait_in_force(&[1, 2], 1, revision).await;
   fleet.start_target(1, 3);
@@ -241,7 +242,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn both_sides_of_a_network_partition_serve() {
+async fn feeds_survive_and_open_during_a_network_partition() {
   let fleet = Fleet::new()
     .balancers(4)
     .service(1, 4)
@@ -258,7 +259,7 @@
       ..Plan::default()
     })
     .await;
-  // Half of the packets of each flow reach a balancer that is cut off from the flow's target.
+  // About half of the packets of each flow reach a balancer that is cut off from the flow's target.
   feeds.wait_for_lines(40).await;
   assert_eq!(feeds.broken(), 0);
   let newer = Feeds::open(&fleet, 1, 6).await;
@@ -267,10 +268,10 @@
     .await;
   fleet.inject_faults(&Plan::default()).await;
   newer
-    .assert_intact("flows opened during the partition, after it")
+    .assert_intact("flows opened during the partition, after its end")
     .await;
   feeds
-    .assert_intact("flows opened before the partition, after it")
+    .assert_intact("flows opened before the partition, after its end")
     .await;
 }
 
@@ -302,7 +303,7 @@
   for target in [1, 2] {
     fleet.agent(1, target).reload();
   }
-  until("agents use the new certificate", || async {
+  until("a flow opens with the new certificate", || async {
     let caller = fleet.try_caller(1).await;
     caller.is_ok()
   })
