--- a/tests/integration/command.rs
+++ b/tests/integration/command.rs
@@ -1,4 +1,4 @@
-//! The command line and the API of the processes, with valid and invalid arguments.
+//! The command line, settings, API and metrics, and how invalid input to them is refused.
 
 use {
   crate::support::{
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn verbs_that_read_print_services_and_state() {
+async fn read_only_verbs_print_a_table_json_or_a_summary() {
   let fleet = Fleet::new().balancers(1).service(1, 2).start().await;
   let api = fleet.balancer_api(1).to_string();
   let output = run_fallwell(&["get", "--api", &api]);
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn invalid_api_requests_are_refused_with_their_code() {
+async fn invalid_api_requests_are_refused_with_status_and_code() {
   let fleet = Fleet::new().balancers(1).service(1, 1).start().await;
   for api in fleet.apis() {
     for (method, path, status) in [
