--- a/tests/integration/requests.rs
+++ b/tests/integration/requests.rs
@@ -1,6 +1,6 @@
-//! Confirmations, which are `POST` requests with an idempotency key, run at most once, and their
-//! answers say whether they ran. The home of a key is the agent that runs its requests and caches
-//! the answer.
+//! Requests under faults and overload. Confirmations (`POST` requests with an idempotency key) run
+//! at most once, and their statuses tell whether they ran. The home of a key is the agent that runs
+//! its requests and caches the answer.
 
 use {
   crate::support::{
@@ -75,8 +75,8 @@
   runs
 }
 
-/// Asserts that no key ran twice and that the statuses agree with the runs: a key that was always
-/// refused did not run, and a key whose last attempt succeeded ran.
+/// Asserts that no key ran more than once and that the statuses agree with the runs: a key that was
+/// always refused did not run, and a key whose last attempt succeeded ran.
 fn assert_truthful(statuses: &Statuses, runs: &BTreeMap<String, u64>) {
   let (mut duplicates, mut contradictions, mut succeeded, mut unknown) = (0, 0, 0, 0);
   for (key, statuses) in statuses {
@@ -92,7 +92,7 @@
   }
   println!(
     "{} confirmations: {succeeded} succeeded, {unknown} ended with an unknown outcome; \
-     {duplicates} ran twice, {contradictions} statuses contradict the runs",
+     {duplicates} ran more than once, {contradictions} contradict the runs",
     statuses.len()
   );
   assert_eq!(duplicates, 0, "{statuses:?} {runs:?}");
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn confirmations_run_once_between_restarts_of_upstreams() {
+async fn confirmations_run_at_most_once_between_restarts_of_upstreams() {
   let mut fleet = Fleet::new().balancers(2).service(1, 3).start().await;
   let mut statuses = BTreeMap::new();
   for round in 0..3 {
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn retries_run_once_while_agents_are_killed_and_restarted() {
+async fn retries_run_at_most_once_while_agents_are_killed_and_restarted() {
   let mut fleet = Fleet::new().balancers(2).service(1, 4).start().await;
   let mut statuses = BTreeMap::new();
   for round in 0..4_u32 {
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn retries_run_once_while_an_agent_is_suspended_past_the_deadline() {
+async fn retries_run_at_most_once_while_an_agent_is_suspended_past_the_deadline() {
   let fleet = Fleet::new().balancers(2).service(1, 3).deadline_ms(1500);
   let mut fleet = fleet.start().await;
   let keys = (0..9)
@@ -249,7 +249,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn retries_run_once_while_an_added_target_changes_the_homes_of_keys() {
+async fn retries_run_at_most_once_while_an_added_target_changes_the_homes_of_keys() {
   let mut fleet = Fleet::new().balancers(2).service(1, 3).start().await;
   let keys = (0..24)
     .map(|index| format!("key-{index}"))
@@ -331,7 +331,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn retries_run_once_across_a_partition_with_two_configurations() {
+async fn retries_run_at_most_once_across_a_partition_with_two_configurations() {
   let fleet = Fleet::new().balancers(4).service(1, 4).deadline_ms(3000);
   let mut fleet = fleet.relayed().start().await;
   let mut cuts = fleet.cuts_between_balancers(&[1, 2], &[3, 4]);
@@ -345,8 +345,8 @@
       ..Plan::default()
     })
     .await;
-  // Only one side of the partition learns that target 4 was removed, so the sides disagree about
-  // the homes of keys.
+  // Balancers 3 and 4 do not learn that target 4 was removed, so the two sides of the partition can
+  // disagree about the homes of keys.
   fleet.targets(1).retain(|target| *target != 4);
   let revision = fleet.publish(1).await;
   fleet.wait_in_force(&[1, 2], 1, revision).await;
@@ -414,7 +414,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_answer_truncated_by_the_death_of_its_upstream_ends_with_an_error() {
+async fn an_answer_truncated_by_a_killed_upstream_ends_with_an_error() {
   let mut fleet = Fleet::new().balancers(1).service(1, 1).start().await;
   let caller = fleet.caller(1).await;
   let mut feed = caller.feed("/feed?interval_ms=20").await.unwrap();
@@ -442,8 +442,8 @@
   assert_eq!(answer.headers["fallwell-code"], "301");
 }
 
-/// Guards against an agent that stops reading a request once it has answered, so that a caller
-/// which ends its request in a later packet fails.
+/// Guards against an agent that stops reading a request once it has answered: a caller that ends
+/// its request after that would fail.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_may_finish_its_request_after_the_answer() {
   let fleet = Fleet::new().balancers(1).service(1, 1).start().await;
