--- a/tests/integration/services.rs
+++ b/tests/integration/services.rs
@@ -1,4 +1,5 @@
-//! Isolation: packets and documents that are invalid or meant for another service have no effect.
+//! Isolation: packets and documents that are invalid or meant for another service have no effect,
+//! and an agent takes over no flows of its predecessor at the same address.
 
 use {
   crate::support::{
@@ -12,16 +13,16 @@
 };
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn packets_of_one_service_never_reach_another() {
+async fn feeds_of_two_services_come_from_their_own_upstreams() {
   let fleet = Fleet::new()
     .balancers(2)
     .service(1, 2)
     .service(2, 2)
     .start()
     .await;
-  let dispatch = Feeds::open(&fleet, 1, 6).await;
-  let photos = Feeds::open(&fleet, 2, 6).await;
-  for (feeds, service) in [(&dispatch, "1-"), (&photos, "2-")] {
+  let first_feeds = Feeds::open(&fleet, 1, 6).await;
+  let second_feeds = Feeds::open(&fleet, 2, 6).await;
+  for (feeds, service) in [(&first_feeds, "1-"), (&second_feeds, "2-")] {
     feeds.assert_intact("two services").await;
     for feed in &feeds.0 {
       assert!(
@@ -103,7 +104,7 @@
   }
   feeds.assert_intact("random datagrams").await;
   for api in fleet.apis() {
-    // The counters in the state dump are updated twice a second.
+    // The state dump is refreshed at intervals, so its counters lag behind.
     until("refusals are counted", || async move {
       let state = get(api, "/v1/state").await;
       let counters = state["counters"].as_object();
@@ -124,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_invalid_document_is_refused_and_the_previous_one_stays_in_force() {
+async fn requests_are_still_answered_after_invalid_documents_are_refused() {
   let fleet = Fleet::new().balancers(2).service(1, 2).start().await;
   let caller = fleet.caller(1).await;
   let documents = [
