--- a/tests/integration/requests.rs
+++ b/tests/integration/requests.rs
@@ -355,7 +355,7 @@
       .map(|index| format!("{name}-{index}"))
       .collect::<Vec<_>>()
   };
-  let (first_keys, second_keys) = (keys("first"), keys("second"));
+  let (first_keys, second_keys) = (keys("here"), keys("there"));
   let mut statuses = BTreeMap::new();
   fleet.spray(1, &[1, 2]).await;
   confirm_all(&fleet, &first_keys, 1, &mut statuses).await;
