--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a number of its own type.
+//! Numeric identifiers, each with its own type so that they cannot be mixed up.
 
 use {
   serde::{Deserialize, Serialize},
@@ -33,13 +33,13 @@
 }
 
 id! {
-  /// One run of an agent: a new number with each start, so that a flow of an earlier run is told
-  /// from a flow of this one.
+  /// One incarnation of an agent. It changes at every start, which distinguishes the flows of a
+  /// previous incarnation from those of the current one.
   Incarnation(u16)
 }
 
 id! {
-  /// A process of the system, unique in the fleet.
+  /// A balancer or agent process, unique in the fleet.
   Instance(u32)
 }
 
@@ -49,6 +49,6 @@
 }
 
 id! {
-  /// A target, unique within its service.
+  /// A target of a service, unique only within that service.
   Target(u32)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Fallwell, a layer-4 load balancer whose flows outlive its processes.
+//! Fallwell, a layer-4 load balancer whose flows survive restarts of its processes.
 //!
-//! Decisions are state machines without clock, socket or thread ([`admission`],
-//! [`config`], [`flow`], [`ledger`], [`membership`], [`peer`], [`routing`]); the programs ([`agent`], [`balancer`], [`command`]) feed them.
+//! All decisions are made by state machines that use no clock, socket or thread ([`admission`],
+//! [`config`], [`flow`], [`ledger`], [`membership`], [`peer`], [`routing`]); the programs
+//! ([`agent`], [`balancer`], [`command`]) do the input and output around them.
 
 pub mod admission;
 pub mod agent;
--- a/src/rate.rs
+++ b/src/rate.rs
@@ -1,38 +1,39 @@
-//! How often something may be done.
+//! Rate limiting.
 
 use std::time::{Duration, Instant};
 
-/// The time that a limit counts in.
+/// The length of one counting window.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// A number of times in each second, counted from the first one in it.
+/// A fixed-window rate limit. A window of one second starts with the first event after the previous
+/// window has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limit {
   count: u32,
-  most: u32,
-  since: Option<Instant>,
+  max: u32,
+  window_start: Option<Instant>,
 }
 
 impl Limit {
-  /// So many times a second.
-  pub fn new(most: u32) -> Self {
+  /// Allows at most `max` events per second.
+  pub fn new(max: u32) -> Self {
     Self {
       count: 0,
-      most,
-      since: None,
+      max,
+      window_start: None,
     }
   }
 
-  /// Whether it may be done now; if so it counts.
+  /// Returns whether an event is allowed now, and counts it if it is.
   pub fn take(&mut self, now: Instant) -> bool {
-    let over = self
-      .since
-      .is_none_or(|since| now.duration_since(since) >= WINDOW);
-    if over {
-      self.since = Some(now);
+    let is_expired = self
+      .window_start
+      .is_none_or(|window_start| now.duration_since(window_start) >= WINDOW);
+    if is_expired {
+      self.window_start = Some(now);
       self.count = 0;
     }
-    if self.count >= self.most {
+    if self.count >= self.max {
       return false;
     }
     self.count += 1;
--- a/src/revision.rs
+++ b/src/revision.rs
@@ -1,4 +1,4 @@
-//! The platform's revision of a record.
+//! The revision number of a record on the platform.
 
 use {
   serde::{Deserialize, Serialize},
@@ -9,7 +9,7 @@
   },
 };
 
-/// A count that the platform raises with each change of any of its records.
+/// A counter that the platform increments with every change of any record.
 #[derive(
   Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,16 +1,16 @@
-//! The dump of a process's state on request.
+//! The state of a process, as shown in its state dump.
 
 use {
   serde_json::{Map, Value},
   std::sync::{Arc, Mutex, PoisonError},
 };
 
-/// The last state of each part of a process, to be dumped.
+/// The latest state that each part of a process has reported, shared between its threads.
 #[derive(Clone, Debug, Default)]
 pub struct Registry(Arc<Mutex<Map<String, Value>>>);
 
 impl Registry {
-  /// The last state of a part.
+  /// The latest state of one part; none before its first report.
   pub fn get(&self, part: &str) -> Option<Value> {
     self
       .0
@@ -20,7 +20,7 @@
       .cloned()
   }
 
-  /// The whole state.
+  /// The states of all parts, as an object with one key per part.
   pub fn all(&self) -> Value {
     Value::Object(
       self
@@ -40,7 +40,7 @@
       .insert(part.into(), state);
   }
 
-  /// The whole state as JSON.
+  /// The states of all parts as JSON text.
   pub fn text(&self) -> String {
     self.all().to_string()
   }
