--- a/src/counter.rs
+++ b/src/counter.rs
@@ -1,4 +1,4 @@
-//! Counts by result code and by name, and times, shared by the threads of a process.
+//! Counters by result code or name and latency histograms, shared by the threads of a process.
 
 use {
   crate::Code,
@@ -14,13 +14,13 @@
   },
 };
 
-/// The longest time that a histogram tells from others, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+/// The largest value of a histogram, in microseconds; longer times are recorded as this.
+const TIME_MAX_US: u64 = 60_000_000;
 
-/// The parts of all times that are told.
+/// The quantiles that are exported for each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// The counts of one process.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Counter {
   codes: Vec<AtomicU64>,
@@ -39,7 +39,7 @@
 }
 
 impl Counter {
-  /// Adds `count` under `name`; for rare or batched events, since names are behind a lock.
+  /// Adds `count` to the counter `name`. It takes a lock, so it is meant for rare or batched events.
   pub fn add(&self, name: &str, count: u64) {
     if count == 0 {
       return;
@@ -53,21 +53,21 @@
     }
   }
 
-  /// Counts one event of `code`.
+  /// Increments the counter of `code`, without a lock.
   pub fn count(&self, code: Code) {
     self.codes[code as usize].fetch_add(1, Ordering::Relaxed);
   }
 
-  /// How often `code` was counted.
+  /// The current count of `code`.
   pub fn of(&self, code: Code) -> u64 {
     self.codes[code as usize].load(Ordering::Relaxed)
   }
 
-  /// Adds a time under `name`.
+  /// Records a duration in the histogram `name`, with microsecond resolution.
   pub fn observe(&self, name: &'static str, time: Duration) {
     let mut times = self.times.lock().unwrap_or_else(PoisonError::into_inner);
     if !times.contains_key(name) {
-      let Ok(histogram) = Histogram::new_with_bounds(1, LONGEST_US, 2) else {
+      let Ok(histogram) = Histogram::new_with_bounds(1, TIME_MAX_US, 2) else {
         return;
       };
       times.insert(name, histogram);
@@ -77,11 +77,11 @@
     }
   }
 
-  /// All counts and times as text, a line each: `fallwell_count` by name, `fallwell_time_us` by
+  /// All metrics in the Prometheus text format: `fallwell_count` by name, and `fallwell_time_us` by
   /// name and quantile, in microseconds.
   pub fn text(&self) -> String {
     let mut text = String::new();
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     for (name, count) in self.snapshot() {
       let _ = writeln!(text, "fallwell_count{{name=\"{name}\"}} {count}");
     }
@@ -100,7 +100,7 @@
     text
   }
 
-  /// All counts that are not zero: codes as `F207`, others by name.
+  /// All counters that are not zero: result codes under names such as `F207`, others by name.
   pub fn snapshot(&self) -> BTreeMap<String, u64> {
     let mut all = self
       .names
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics to a `StatsD` server over UDP.
+//! Sends metrics to a `StatsD` server over UDP.
 
 use {
   crate::{
@@ -16,10 +16,10 @@
   },
 };
 
-/// How often metrics are sent.
-const PERIOD: Duration = Duration::from_secs(10);
+/// The interval between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Starts the part that sends metrics, where the settings name a server.
+/// Starts the part that sends metrics; does nothing without a server.
 pub fn start(
   server: Option<SocketAddr>,
   counter: &Arc<Counter>,
@@ -35,7 +35,8 @@
   })
 }
 
-/// Sends the counts that rose and the numbers of the state until it is told to stop.
+/// Reports counter increments, and the numeric fields of the state's `path` as gauges, until `stop`
+/// is set.
 fn run(
   server: SocketAddr,
   counter: &Counter,
@@ -44,10 +45,10 @@
 ) -> Result<(), Fault> {
   let client = client(server)?;
   let mut sent: BTreeMap<String, u64> = BTreeMap::new();
-  while !stop.wait_for(PERIOD) {
+  while !stop.wait_for(REPORT_INTERVAL) {
     for (name, count) in counter.snapshot() {
-      let before = sent.insert(name.clone(), count).unwrap_or(0);
-      let _ = client.count(&name, count - before);
+      let previous = sent.insert(name.clone(), count).unwrap_or(0);
+      let _ = client.count(&name, count - previous);
     }
     let state = registry.all();
     for (name, value) in state["path"].as_object().into_iter().flatten() {
