--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration service, which can only be read and watched.
+//! Read-only access to the platform's configuration service.
 
 mod change;
 mod reader;
--- a/src/platform/change.rs
+++ b/src/platform/change.rs
@@ -10,29 +10,29 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// One change of a document, as the platform gives it.
+/// One change of a document, as reported by the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Change {
-  /// The document's name.
+  /// The key that the document is stored under, such as `service/1`.
   pub key: String,
-  /// The revision of the change.
+  /// The revision that the change created.
   pub revision: Revision,
-  /// The document's text; none when it was deleted.
+  /// The document's new text; none if it was deleted.
   pub text: Option<String>,
 }
 
-/// An answer to a watch.
+/// The response to a watch request.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Changes {
-  /// What changed, in the order of revisions.
+  /// The changes, ordered by revision.
   pub changes: Vec<Change>,
-  /// The revision up to which this answer is complete.
+  /// The revision up to which this response is complete: the next watch starts after it.
   pub revision: Revision,
 }
 
 impl Changes {
-  /// Asks for what changed after a revision under `keys`, or under any where none is named; the
-  /// platform waits up to `wait` for something.
+  /// Requests the changes after revision `after` of the documents in `keys`, or of all documents if
+  /// `keys` is empty. If there are none yet, the platform delays its response by up to `wait`.
   pub async fn watch(
     platform: SocketAddr,
     after: Revision,
@@ -57,7 +57,7 @@
       .map_err(|error| Fault::new(Code::DocumentUnreadable, format!("{platform}: {error}")))
   }
 
-  /// The changes whose key is of a known kind, and the faults of the others.
+  /// Converts the changes into records; returns a fault for each key of an unknown kind.
   pub fn records(self) -> (Vec<Record>, Vec<Fault>) {
     let mut records = Vec::new();
     let mut faults = Vec::new();
--- a/src/platform/reader.rs
+++ b/src/platform/reader.rs
@@ -3,17 +3,17 @@
   std::time::{Duration, Instant},
 };
 
-/// When the platform is asked.
+/// The timing of requests to the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-  /// The longest wait after a failure.
+  /// The largest mean delay after a failure.
   pub back_off_max: Duration,
-  /// A process that is no reader asks itself once nobody it hears of has heard from the platform
-  /// for so long: longer than a watch waits and the word of it spreads.
+  /// How long after the last confirmation by any reader the other processes start to poll the
+  /// platform themselves. Longer than a watch waits and its confirmation takes to reach them.
   pub stale_after: Duration,
-  /// The mean time between its questions then.
+  /// The mean interval between two such polls of one process.
   pub stale_interval: Duration,
-  /// How long a reader's watch waits.
+  /// How long a reader's watch waits for a change.
   pub wait: Duration,
 }
 
@@ -28,36 +28,40 @@
   }
 }
 
-/// Decides when a process asks the platform. Few readers watch; the rest ask only while no reader
-/// gets through, each at its own random times, so that the fleet never asks at once.
+/// Schedules the requests of one process to the platform. A few designated readers watch it
+/// continuously. The other processes poll it only while no reader reaches it, each at random
+/// times, so that the fleet does not poll all at once.
 #[derive(Debug)]
 pub struct Reader {
   failures: u32,
-  next: Option<Instant>,
+  next_request: Option<Instant>,
   rng: SmallRng,
   settings: Settings,
 }
 
 impl Reader {
-  /// A reader that has not asked yet.
+  /// A scheduler whose first request is due as soon as its role allows it; `seed` determines the
+  /// random delays.
   pub fn new(settings: Settings, seed: u64) -> Self {
     Self {
       failures: 0,
-      next: None,
+      next_request: None,
       rng: SmallRng::seed_from_u64(seed),
       settings,
     }
   }
 
-  /// Whether to ask now, and how long the platform may wait for news.
+  /// If a request is due now, returns how long the platform may wait for a change: the full wait
+  /// for a `designated` reader, zero for a poll of another process. `confirmed` is the time since
+  /// the platform last confirmed the configuration to any reader.
   pub fn ask(
     &mut self,
     now: Instant,
     designated: bool,
     confirmed: Option<Duration>,
   ) -> Option<Duration> {
-    if let Some(next) = self.next
-      && now < next
+    if let Some(next_request) = self.next_request
+      && now < next_request
     {
       return None;
     }
@@ -66,32 +70,32 @@
     }
     let stale = confirmed.is_none_or(|age| age >= self.settings.stale_after);
     if !stale {
-      self.next = None;
+      self.next_request = None;
       return None;
     }
-    if self.next.is_none() {
-      self.next = Some(now + self.jitter(self.settings.stale_interval));
+    if self.next_request.is_none() {
+      self.next_request = Some(now + self.jitter(self.settings.stale_interval));
       return None;
     }
-    self.next = Some(now + self.jitter(self.settings.stale_interval * 2));
+    self.next_request = Some(now + self.jitter(self.settings.stale_interval * 2));
     Some(Duration::ZERO)
   }
 
-  /// The platform answered.
+  /// Clears the backoff, after the platform has answered.
   pub fn answered(&mut self) {
     self.failures = 0;
-    self.next = None;
+    self.next_request = None;
   }
 
-  /// The platform did not answer.
+  /// Delays the next request: exponential backoff with full jitter.
   pub fn failed(&mut self, now: Instant) {
     self.failures += 1;
     let doubled = Duration::from_millis(250) * (1 << self.failures.min(6));
     let wait = doubled.min(self.settings.back_off_max);
-    self.next = Some(now + self.jitter(wait * 2));
+    self.next_request = Some(now + self.jitter(wait * 2));
   }
 
-  /// A random time whose mean is half of `longest`.
+  /// A random duration, uniformly distributed between zero and `longest`.
   fn jitter(&mut self, longest: Duration) -> Duration {
     longest.mul_f64(self.rng.random_range(0.0..1.0))
   }
