--- a/benches/balance.rs
+++ b/benches/balance.rs
@@ -163,7 +163,14 @@
   measure("flows alone", Fleet::new().without_routes(), 4, 5, &[0.9]).await;
   measure("hand-off", Fleet::new(), 3, 7, &[0.9]).await;
   measure("flows alone", Fleet::new().without_routes(), 3, 7, &[0.9]).await;
-  measure("hand-off, one slow", Fleet::new().slow_upstream(1, 3), 7, 5, &[0.6]).await;
+  measure(
+    "hand-off, one slow",
+    Fleet::new().slow_upstream(1, 3),
+    7,
+    5,
+    &[0.6],
+  )
+  .await;
   let slow = Fleet::new().without_routes().slow_upstream(1, 3);
   measure("flows alone, one slow", slow, 7, 5, &[0.6]).await;
 }
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -31,10 +31,7 @@
   );
   println!("flows | agent MB | balancer MB | processor ms a new flow: agent, balancer");
   for wanted in STEPS {
-    let used = (
-      fleet.agent(1, 1).cpu_time(),
-      fleet.balancer(1).cpu_time(),
-    );
+    let used = (fleet.agent(1, 1).cpu_time(), fleet.balancer(1).cpu_time());
     let fresh = wanted - flows.len();
     let opened = stream::iter(0..fresh)
       .map(|_| fleet.caller(1))
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! What passes between the processes in datagrams, and what is read of a caller's packet.
+//! The datagram format between balancers and agents, and the parsing of callers' QUIC packets.
 
 mod chain;
 mod cid;
--- a/src/wire/chain.rs
+++ b/src/wire/chain.rs
@@ -1,7 +1,7 @@
 use {crate::id, arrayvec::ArrayVec};
 
-/// The most targets that are asked about one packet.
+/// The largest number of targets that a packet may still be forwarded to.
 pub const CHAIN_MAX: usize = 24;
 
-/// The targets that are asked about a packet, one after another.
+/// The targets that a packet is forwarded to in turn until one of them owns its flow.
 pub type Chain = ArrayVec<id::Target, CHAIN_MAX>;
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -5,105 +5,105 @@
   std::net::SocketAddr,
 };
 
-/// The most bytes that a frame adds to a packet.
+/// The largest size of an encoded header, in bytes.
 pub const HEADER_MAX: usize = 256;
 
-/// The version of the frame's layout.
+/// The version of the frame format.
 const VERSION: u8 = 1;
 
-/// Version (1 byte), secret id (1), tag (8).
-const PREFIX: usize = 10;
+/// The length of the part before the encoded frame: version (1 byte), secret id (1), tag (8).
+const PREFIX_LEN: usize = 10;
 
-/// Sets frames apart from connection IDs under the same secret.
+/// Domain separator: frames and connection IDs are tagged with the same secret.
 const DOMAIN: u64 = 0x6672_616d;
 
-/// How a packet tells which flow it is of.
+/// What identifies the flow of a packet.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Flow {
-  /// By a key that names no target.
+  /// A key that does not contain the target.
   Keyed {
-    /// A hash of what the packets of the flow have in common.
+    /// A hash of the fields that all packets of the flow share.
     key: u64,
     /// Whether the packet may open the flow.
     opens: bool,
   },
-  /// By its target.
+  /// The target that owns the flow.
   Named {
-    /// The run of the target's agent that the flow began in.
+    /// The incarnation of the target's agent that opened the flow.
     incarnation: id::Incarnation,
-    /// The target.
+    /// The owner of the flow.
     target: id::Target,
   },
 }
 
-/// A caller's packet on its way to an agent; the packet follows the header.
+/// Forwards a caller's packet to an agent; the packet follows the header.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Carry {
-  /// The balancer that it came through, when an agent passes it on.
+  /// The tunnel address of the balancer that received the packet, if an agent forwards it.
   pub balancer: Option<SocketAddr>,
-  /// Who sent it.
+  /// The caller's address.
   pub caller: SocketAddr,
-  /// The targets to be asked after this one.
+  /// The targets to forward the packet to if this one does not own the flow.
   pub chain: Chain,
-  /// The flow that it is of.
+  /// The flow that the packet belongs to.
   pub flow: Flow,
-  /// How often agents have passed it on.
+  /// How often agents have forwarded the packet.
   pub hops: u8,
-  /// How often a target that could not open the flow has sent it to another.
+  /// How often a target that could not open the flow has redirected the packet to another.
   pub redirects: u8,
   /// The revision of the service that the sender has in force.
   pub revision: Revision,
-  /// The service whose address it arrived at.
+  /// The service whose address the packet arrived at.
   pub service: id::Service,
   /// The target that this frame is for.
   pub target: id::Target,
-  /// Whether the last target may open the flow when no other one has it.
+  /// Whether the last target of the chain may open the flow if none of the others owns it.
   pub may_open: bool,
 }
 
-/// An answer to a probe.
+/// The response to a [`Probe`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Echo {
-  /// How busy the sender is, in 1/255 of what it may hold.
+  /// The load of the sender, in 1/255 of its capacity.
   pub load: u8,
-  /// The probe's number.
+  /// The nonce of the probe.
   pub nonce: u32,
   /// The revision of the service that the sender has in force.
   pub revision: Revision,
-  /// The service asked for.
+  /// The probed service.
   pub service: id::Service,
-  /// The target that answers; none from a balancer.
+  /// The target that responds; none if a balancer does.
   pub target: Option<id::Target>,
 }
 
-/// Tells the agent that passed a packet on where its flow is.
+/// Notifies the agent that forwarded a packet of the target that owns its flow.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Found {
   /// The flow's key.
   pub key: u64,
-  /// The service.
+  /// The service of the flow.
   pub service: id::Service,
-  /// The target that has the flow.
+  /// The target that owns the flow.
   pub target: id::Target,
 }
 
-/// Asks whether a process serves a service.
+/// A liveness probe for one service of a process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Probe {
-  /// A number that the echo repeats.
+  /// A number that the [`Echo`] repeats.
   pub nonce: u32,
   /// The revision of the service that the sender has in force.
   pub revision: Revision,
-  /// The service asked for.
+  /// The service to probe.
   pub service: id::Service,
-  /// The target asked; none when a balancer is asked.
+  /// The target to probe; none if a balancer is probed.
   pub target: Option<id::Target>,
 }
 
-/// Tells the sender of a frame why it was not taken.
+/// Notifies the sender of a frame why it was refused.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-  /// The result code's number.
+  /// The number of the result code.
   pub code: u16,
   /// The revision of the service that the sender has in force.
   pub revision: Revision,
@@ -113,82 +113,87 @@
   pub target: id::Target,
 }
 
-/// A packet on its way back to a caller; the packet follows the header.
+/// Returns an upstream's packet to a caller through a balancer; the packet follows the header.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Return {
-  /// Who receives it.
+  /// The address of the caller.
   pub caller: SocketAddr,
-  /// How busy the target is, in 1/255 of what it may hold.
+  /// The load of the target, in 1/255 of its capacity.
   pub load: u8,
   /// The revision of the service that the sender has in force.
   pub revision: Revision,
-  /// The service whose address it leaves from.
+  /// The service whose address is the packet's source.
   pub service: id::Service,
-  /// The target that answers.
+  /// The target that sent the packet.
   pub target: id::Target,
 }
 
-/// What passes between balancers and agents in a datagram.
+/// A datagram between balancers and agents.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Frame {
-  /// Towards an agent.
+  /// A packet from a caller.
   Carry(Carry),
-  /// An answer to a probe.
+  /// A response to a liveness probe.
   Echo(Echo),
-  /// Where a flow is.
+  /// The location of a flow.
   Found(Found),
-  /// A question.
+  /// A liveness probe.
   Probe(Probe),
-  /// A frame that was not taken.
+  /// The refusal of a frame.
   Refusal(Refusal),
-  /// Towards a caller.
+  /// A packet to a caller.
   Return(Return),
 }
 
 impl Refusal {
-  /// The result code; one that a newer process has made up counts as unroutable.
+  /// The result code; a number that this version does not know counts as
+  /// [`Code::PacketUnroutable`].
   pub fn code(&self) -> Code {
     Code::from_number(self.code).unwrap_or(Code::PacketUnroutable)
   }
 }
 
 impl Frame {
-  /// Writes the header, tagged with the current secret, and returns its length. The tag covers
-  /// the header and the packet's length; the packet's content is sealed by QUIC itself.
+  /// Encodes the header, tagged with the current secret, and returns its length. The tag covers
+  /// the header and the length of the packet, but not its content, which QUIC authenticates.
   pub fn encode(
     &self,
     payload: usize,
     tagger: &Tagger,
     out: &mut [u8; HEADER_MAX],
   ) -> Result<usize, Code> {
-    let length = postcard::to_slice(self, &mut out[PREFIX..])
+    let frame_len = postcard::to_slice(self, &mut out[PREFIX_LEN..])
       .map_err(|_| Code::FrameTruncated)?
       .len();
     out[0] = VERSION;
     out[1] = tagger.current();
     let tag = tagger
-      .tag(out[1], domain(payload), &out[PREFIX..PREFIX + length])
+      .tag(
+        out[1],
+        domain(payload),
+        &out[PREFIX_LEN..PREFIX_LEN + frame_len],
+      )
       .ok_or(Code::FrameKeyUnknown)?;
-    out[2..PREFIX].copy_from_slice(&tag.to_be_bytes());
-    Ok(PREFIX + length)
+    out[2..PREFIX_LEN].copy_from_slice(&tag.to_be_bytes());
+    Ok(PREFIX_LEN + frame_len)
   }
 
-  /// Reads a header and returns it with the packet that follows.
+  /// Decodes a header and checks its tag; returns the frame and the packet that follows it.
   pub fn decode<'a>(bytes: &'a [u8], tagger: &Tagger) -> Result<(Self, &'a [u8]), Code> {
-    if bytes.len() <= PREFIX {
+    if bytes.len() <= PREFIX_LEN {
       return Err(Code::FrameTruncated);
     }
     if bytes[0] != VERSION {
       return Err(Code::FrameVersionUnknown);
     }
-    let body = &bytes[PREFIX..];
+    let body = &bytes[PREFIX_LEN..];
     let (frame, payload) =
       postcard::take_from_bytes::<Self>(body).map_err(|_| Code::FrameTruncated)?;
     let header = &body[..body.len() - payload.len()];
     let tag = tagger
       .tag(bytes[1], domain(payload.len()), header)
       .ok_or(Code::FrameKeyUnknown)?;
-    if tag.to_be_bytes() != bytes[2..PREFIX] {
+    if tag.to_be_bytes() != bytes[2..PREFIX_LEN] {
       return Err(Code::FrameForged);
     }
     Ok((frame, payload))
--- a/src/wire/packet.rs
+++ b/src/wire/packet.rs
@@ -1,19 +1,20 @@
 use {super::CID_LEN, crate::code::Code};
 
-/// The most bytes that a connection ID has in the versions in use (RFC 9000, 17.2).
+/// The largest length of a connection ID in QUIC version 1, in bytes (RFC 9000, section 17.2).
 const CID_MAX: usize = 20;
 
-/// What every version of QUIC shows of a packet (RFC 8999): its form and its destination.
+/// The version-independent fields of a QUIC packet (RFC 8999).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Packet<'a> {
   /// The destination connection ID.
   pub destination: &'a [u8],
-  /// Whether it has the long header of the packets that open a flow.
+  /// Whether the packet has a long header, as the packets of a handshake do.
   pub long: bool,
 }
 
 impl<'a> Packet<'a> {
-  /// Reads the version-independent part of a packet.
+  /// Parses the header. A short header does not state the length of its connection ID, which is
+  /// assumed to be [`CID_LEN`].
   pub fn read(bytes: &'a [u8]) -> Result<Self, Code> {
     let first = *bytes.first().ok_or(Code::PacketTooShort)?;
     if first & 0x80 == 0 {
--- a/src/wire/tagger.rs
+++ b/src/wire/tagger.rs
@@ -7,7 +7,7 @@
   std::hash::Hasher,
 };
 
-/// Makes and checks tags: SipHash-2-4 under the secrets of a keyring.
+/// Computes authentication tags: SipHash-2-4 keyed with the secrets of a keyring.
 #[derive(Clone, Debug)]
 pub struct Tagger {
   current: u8,
@@ -16,7 +16,7 @@
 }
 
 impl Tagger {
-  /// The tagger of a keyring that has been checked.
+  /// Creates a tagger from a keyring; fails if a secret is malformed or the current one is missing.
   pub fn new(keyring: &Keyring) -> Result<Self, Fault> {
     let mut hashers = Vec::new();
     let mut current = None;
@@ -35,17 +35,18 @@
     })
   }
 
-  /// The id of the secret that new tags are made with.
+  /// The id of the secret for new tags.
   pub fn current(&self) -> u8 {
     self.current
   }
 
-  /// The current secret, from which keys for other uses are derived.
+  /// The current secret, for deriving keys for other purposes.
   pub fn secret(&self) -> &[u8; 16] {
     &self.secret
   }
 
-  /// The tag of `bytes` in `domain` under the secret `id`; none when the secret is unknown.
+  /// The tag of `bytes` under the secret `id`, separated by `domain`; none if the keyring does not
+  /// contain the secret.
   pub fn tag(&self, id: u8, domain: u64, bytes: &[u8]) -> Option<u64> {
     let (_, hasher) = self.hashers.iter().find(|(known, _)| *known == id)?;
     let mut hasher = *hasher;
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -292,7 +292,8 @@
 
 /// Writes a self-signed certificate and its key into the directory.
 fn create_certificate(directory: &std::path::Path) -> CertificateDer<'static> {
-  let certified_key = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
+  let certified_key =
+    rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
   fs::write(directory.join("certificate.pem"), certified_key.cert.pem()).expect("certificate file");
   fs::write(
     directory.join("key.pem"),
--- a/tests/support/fleet/operator.rs
+++ b/tests/support/fleet/operator.rs
@@ -94,7 +94,9 @@
 
   /// Makes the fabric distribute the packets of a service over these balancers only.
   pub async fn spray(&self, service: u16, balancers: &[u8]) {
-    let addresses = balancers.iter().map(|number| self.balancer_service_address(*number, service));
+    let addresses = balancers
+      .iter()
+      .map(|number| self.balancer_service_address(*number, service));
     let front = json!({ "backs": addresses.collect::<Vec<_>>(), "listen": self.address(service) });
     self.post_to_fabric("/v1/front", &front).await;
   }
--- a/tests/support/fleet/processes.rs
+++ b/tests/support/fleet/processes.rs
@@ -16,8 +16,8 @@
       self.fabric_address().to_string(),
     ];
     for service in self.services.keys() {
-      let balancers =
-        (1..=self.balancer_count).map(|number| self.balancer_service_address(number, *service).to_string());
+      let balancers = (1..=self.balancer_count)
+        .map(|number| self.balancer_service_address(number, *service).to_string());
       let balancers = balancers.collect::<Vec<_>>().join(",");
       arguments.push("--front".into());
       arguments.push(format!("{}={balancers}", self.address(*service)));
