--- a/src/counter.rs
+++ b/src/counter.rs
@@ -39,7 +39,7 @@
 }
 
 impl Counter {
-  /// Adds `count` to the counter `name`. It takes a lock, so it is meant for rare or batched events.
+  /// Adds `count` to the counter `name`. This takes a lock: for rare or batched events only.
   pub fn add(&self, name: &str, count: u64) {
     if count == 0 {
       return;
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,4 +1,4 @@
-//! Datagram sockets with batched receives and sends, and connections to peers.
+//! UDP sockets with batched receives and sends, and TCP connections to peers.
 
 mod batch;
 mod connect;
--- a/src/net/batch.rs
+++ b/src/net/batch.rs
@@ -6,32 +6,33 @@
   },
 };
 
-/// Room for one receive: the kernel joins datagrams of one sender up to 64 KB.
-const ROOM: usize = 1 << 16;
+/// The size of one receive buffer, in bytes: with receive offload (GRO) the kernel merges
+/// datagrams of one sender into up to 64 KiB.
+const BUFFER_BYTES: usize = 1 << 16;
 
-/// A set of received datagrams, held until the next receive.
+/// Buffers for one batched receive. Their content is overwritten by the next one.
 #[derive(Debug)]
 pub struct Batch {
   buffers: Vec<Vec<u8>>,
-  filled: usize,
+  filled_count: usize,
   metas: Vec<RecvMeta>,
 }
 
 impl Default for Batch {
   fn default() -> Self {
     Self {
-      buffers: vec![vec![0; ROOM]; BATCH_SIZE],
-      filled: 0,
+      buffers: vec![vec![0; BUFFER_BYTES]; BATCH_SIZE],
+      filled_count: 0,
       metas: vec![RecvMeta::default(); BATCH_SIZE],
     }
   }
 }
 
 impl Batch {
-  /// The datagrams, each with its sender.
+  /// The received datagrams, each with the address of its sender.
   pub fn datagrams(&self) -> impl Iterator<Item = (SocketAddr, &[u8])> {
-    let filled = self.metas.iter().zip(&self.buffers).take(self.filled);
-    filled.flat_map(|(meta, buffer)| {
+    let filled_count = self.metas.iter().zip(&self.buffers).take(self.filled_count);
+    filled_count.flat_map(|(meta, buffer)| {
       buffer[..meta.len]
         .chunks(meta.stride.max(1))
         .map(move |datagram| (meta.addr, datagram))
@@ -42,13 +43,13 @@
     &mut self,
     receive: impl FnOnce(&mut [IoSliceMut], &mut [RecvMeta]) -> io::Result<usize>,
   ) -> io::Result<()> {
-    self.filled = 0;
+    self.filled_count = 0;
     let mut slices = self
       .buffers
       .iter_mut()
       .map(|buffer| IoSliceMut::new(buffer))
       .collect::<Vec<_>>();
-    self.filled = receive(&mut slices, &mut self.metas)?;
+    self.filled_count = receive(&mut slices, &mut self.metas)?;
     Ok(())
   }
 }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -6,7 +6,8 @@
   tokio::net::{TcpSocket, TcpStream},
 };
 
-/// Connects to a peer from the IP number that this process binds, or from where the kernel likes.
+/// Connects to a peer from the IP address `bind`, or from one that the kernel chooses. Nagle's
+/// algorithm is disabled.
 pub async fn connect(to: SocketAddr, bind: Option<IpAddr>) -> io::Result<TcpStream> {
   let socket = match to {
     SocketAddr::V4(_) => TcpSocket::new_v4()?,
--- a/src/net/outbox.rs
+++ b/src/net/outbox.rs
@@ -8,10 +8,10 @@
   std::{io::IoSlice, net::SocketAddr},
 };
 
-/// How many datagrams one call hands to the kernel.
-const BATCH: usize = 64;
+/// The largest number of datagrams in one system call.
+const BATCH_MAX: usize = 64;
 
-/// Datagrams that wait for one batched send. Each is a header of ours and a packet that is not
+/// Datagrams to be sent in one batch. Each consists of a header and a borrowed packet, which is not
 /// copied.
 #[derive(Debug, Default)]
 pub struct Outbox<'a> {
@@ -27,7 +27,7 @@
 }
 
 impl<'a> Outbox<'a> {
-  /// Adds a datagram.
+  /// Adds a datagram: the first `header_len` bytes of `header`, followed by `packet`.
   pub fn push(
     &mut self,
     to: SocketAddr,
@@ -43,46 +43,47 @@
     });
   }
 
-  /// How many datagrams wait.
+  /// The number of datagrams that have not been sent yet.
   pub fn len(&self) -> usize {
     self.datagrams.len()
   }
 
-  /// Whether none waits.
+  /// Whether there is no datagram to send.
   pub fn is_empty(&self) -> bool {
     self.datagrams.is_empty()
   }
 
-  /// Sends all and returns how many the kernel did not take: datagrams are never waited for.
+  /// Sends all datagrams without blocking, and returns how many the kernel did not accept; these
+  /// are dropped.
   pub fn flush(&mut self, socket: &Socket) -> usize {
-    let mut lost = 0;
-    for datagrams in self.datagrams.chunks(BATCH) {
-      lost += send(socket, datagrams);
+    let mut dropped = 0;
+    for datagrams in self.datagrams.chunks(BATCH_MAX) {
+      dropped += send(socket, datagrams);
     }
     self.datagrams.clear();
-    lost
+    dropped
   }
 }
 
 fn send(socket: &Socket, datagrams: &[Datagram]) -> usize {
-  let mut lost = 0;
-  let mut rest = datagrams;
-  while !rest.is_empty() {
-    match send_some(socket, rest) {
-      Ok(sent) => rest = &rest[sent.max(1)..],
+  let mut dropped = 0;
+  let mut remaining = datagrams;
+  while !remaining.is_empty() {
+    match send_batch(socket, remaining) {
+      Ok(sent) => remaining = &remaining[sent.max(1)..],
       Err(Errno::EINTR) => {}
-      Err(Errno::EAGAIN) => return lost + rest.len(),
-      // An error of the first datagram, such as a refused earlier one: only that is given up.
+      Err(Errno::EAGAIN) => return dropped + remaining.len(),
+      // The error concerns only the first datagram; it may also report an earlier ICMP error.
       Err(_) => {
-        lost += 1;
-        rest = &rest[1..];
+        dropped += 1;
+        remaining = &remaining[1..];
       }
     }
   }
-  lost
+  dropped
 }
 
-fn send_some(socket: &Socket, datagrams: &[Datagram]) -> Result<usize, Errno> {
+fn send_batch(socket: &Socket, datagrams: &[Datagram]) -> Result<usize, Errno> {
   let slices = datagrams
     .iter()
     .map(|datagram| {
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -11,10 +11,10 @@
   },
 };
 
-/// What is asked of the kernel for each direction, in bytes.
-const BUFFER: usize = 4 << 20;
+/// The requested size of each socket buffer, in bytes.
+const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
-/// A non-blocking datagram socket whose address several workers may share.
+/// A non-blocking UDP socket.
 #[derive(Debug)]
 pub struct Socket {
   inner: UdpSocket,
@@ -22,7 +22,8 @@
 }
 
 impl Socket {
-  /// Binds `address`; with `shared`, other sockets of the same process may bind it too.
+  /// Binds a socket to `address`. With `shared`, other sockets may bind the same address too, and
+  /// the kernel distributes flows over them (`SO_REUSEPORT`).
   pub fn bind(address: SocketAddr, shared: bool) -> Result<Self, Fault> {
     Self::open(address, shared)
       .map_err(|error| Fault::new(Code::AddressUnavailable, format!("{address}: {error}")))
@@ -37,9 +38,9 @@
     if shared {
       socket.set_reuse_port(true)?;
     }
-    // The kernel grants what its limits allow; less is no error.
-    let _ = socket.set_recv_buffer_size(BUFFER);
-    let _ = socket.set_send_buffer_size(BUFFER);
+    // The kernel may limit the size; a smaller buffer is acceptable.
+    let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
+    let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
     socket.bind(&address.into())?;
     let inner = UdpSocket::from(socket);
     let state = UdpSocketState::new(UdpSockRef::from(&inner))?;
@@ -47,17 +48,17 @@
     Ok(Self { inner, state })
   }
 
-  /// The address bound.
+  /// The local address.
   pub fn address(&self) -> io::Result<SocketAddr> {
     self.inner.local_addr()
   }
 
-  /// The descriptor, for batched sends.
+  /// The file descriptor, for system calls that the standard library lacks.
   pub fn descriptor(&self) -> RawFd {
     self.inner.as_raw_fd()
   }
 
-  /// Receives as many datagrams as wait and fit; false when none wait.
+  /// Fills `batch` with the datagrams that are available; returns false if there are none.
   pub fn receive(&self, batch: &mut Batch) -> io::Result<bool> {
     match batch.fill(|buffers, metas| {
       self
@@ -70,7 +71,7 @@
     }
   }
 
-  /// Wakes the poll when datagrams wait.
+  /// Registers the socket with a poll, to be notified when it becomes readable.
   pub fn register(&self, registry: &Registry, token: Token) -> io::Result<()> {
     registry.register(
       &mut SourceFd(&self.inner.as_raw_fd()),
@@ -79,12 +80,12 @@
     )
   }
 
-  /// Ends what `register` began.
+  /// Removes the socket from a poll.
   pub fn deregister(&self, registry: &Registry) -> io::Result<()> {
     registry.deregister(&mut SourceFd(&self.inner.as_raw_fd()))
   }
 
-  /// Sends one datagram at once, or fails.
+  /// Sends one datagram without blocking; fails if the socket buffer is full.
   pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
     self.inner.send_to(bytes, to).map(|_| ())
   }
