--- a/src/process.rs
+++ b/src/process.rs
@@ -1,5 +1,4 @@
-//! What every program does: it reads its settings, starts its parts, waits for a signal, and
-//! stops them in order.
+//! Functions common to all programs: reading settings, handling signals, and reporting the result.
 
 use {
   crate::{
@@ -18,16 +17,17 @@
   std::{path::PathBuf, process::ExitCode, sync::Arc, thread},
 };
 
-/// A signal that a process acts on.
+/// A signal that a process handles.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-  /// SIGHUP: read files again.
+  /// SIGHUP: reload files.
   Reload,
-  /// SIGINT or SIGTERM: stop as planned.
+  /// SIGINT or SIGTERM: shut down gracefully.
   Stop,
 }
 
-/// What a program is started with: `--settings FILE`, and `--check` to read it and stop.
+/// Parses a program's arguments and returns the checked settings; none if there is nothing to run,
+/// because of `--check` or `--help`.
 pub fn start<T: DeserializeOwned>(
   help: &str,
   check: impl Fn(&T) -> Result<(), Fault>,
@@ -39,9 +39,9 @@
   }
   let invalid = |error: pico_args::Error| Fault::new(Code::ArgumentInvalid, error);
   let path: PathBuf = arguments.value_from_str("--settings").map_err(invalid)?;
-  let only_check = arguments.contains("--check");
-  let rest = arguments.finish();
-  if let Some(first) = rest.first() {
+  let is_check = arguments.contains("--check");
+  let unused = arguments.finish();
+  if let Some(first) = unused.first() {
     return Err(Fault::new(
       Code::ArgumentInvalid,
       format!(
@@ -50,16 +50,17 @@
       ),
     ));
   }
-  let read = settings::read(&path)?;
-  check(&read)?;
-  if only_check {
+  let settings = settings::read(&path)?;
+  check(&settings)?;
+  if is_check {
     println!("{}: settings are valid", path.display());
     return Ok(None);
   }
-  Ok(Some(read))
+  Ok(Some(settings))
 }
 
-/// Runs a program's body and turns its fault into a message and an exit code.
+/// Prints a program's fault, if any, and returns its exit code: 3 if a wait has timed out, 2 if an
+/// argument, a document or settings are not valid, 1 for any other fault.
 pub fn finish(name: &str, result: Result<(), Fault>) -> ExitCode {
   match result {
     Ok(()) => ExitCode::SUCCESS,
@@ -74,22 +75,22 @@
   }
 }
 
-/// The parts of a process and the signals that it waits for.
+/// A running process: its supervised parts and the signals sent to it.
 pub struct Process {
   signals: Receiver<Signal>,
-  /// The parts.
+  /// The supervised parts.
   pub tree: Tree,
 }
 
 impl Process {
-  /// A process without parts.
+  /// Creates a process without parts and starts to catch signals.
   pub fn new(counter: Arc<Counter>) -> Result<Self, Fault> {
     let failed = |error| Fault::new(Code::ChildFailed, error);
-    let mut caught = Signals::new([SIGHUP, SIGINT, SIGTERM]).map_err(failed)?;
+    let mut os_signals = Signals::new([SIGHUP, SIGINT, SIGTERM]).map_err(failed)?;
     let (sender, signals) = channel::unbounded();
     let builder = thread::Builder::new().name("signals".into());
     let forward = move || {
-      for signal in caught.forever() {
+      for signal in os_signals.forever() {
         let signal = match signal {
           SIGHUP => Signal::Reload,
           _ => Signal::Stop,
@@ -106,11 +107,11 @@
     })
   }
 
-  /// Waits until a signal comes or a part has failed too often.
+  /// Waits for a signal; fails once a part has failed too often to be restarted.
   pub fn wait(&mut self) -> Result<Signal, Fault> {
     select! {
       recv(self.signals) -> signal => signal.map_err(|error| Fault::new(Code::ChildFailed, error)),
-      recv(self.tree.given_up()) -> fault => {
+      recv(self.tree.fatal_faults()) -> fault => {
         Err(fault.unwrap_or_else(|error| Fault::new(Code::ChildFailed, error)))
       }
     }
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! The supervisor tree: a root that starts named parts, restarts one that fails, and stops them
-//! in order.
+//! Supervision of a process's parts: each is a named thread that is restarted when it fails, and
+//! they are stopped in reverse order.
 
 mod stop;
 mod tree;
--- a/src/supervisor/stop.rs
+++ b/src/supervisor/stop.rs
@@ -7,36 +7,36 @@
   time::{Duration, Instant},
 };
 
-/// How long a waiting part may take to notice a stop.
-const POLL: Duration = Duration::from_millis(20);
+/// How often a waiting part checks whether it is to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Tells parts that they are to end.
+/// A stop signal for a part; clones share the same signal.
 #[derive(Clone, Debug, Default)]
 pub struct Stop(Arc<AtomicBool>);
 
 impl Stop {
-  /// Whether it was asked for.
+  /// Whether the part is to stop.
   pub fn is_set(&self) -> bool {
     self.0.load(Ordering::Acquire)
   }
 
-  /// Asks for it.
+  /// Signals the part to stop.
   pub fn set(&self) {
     self.0.store(true, Ordering::Release);
   }
 
-  /// Waits in a task until it is asked for.
+  /// Waits asynchronously until the part is to stop.
   pub async fn wait(&self) {
     while !self.is_set() {
-      tokio::time::sleep(POLL).await;
+      tokio::time::sleep(POLL_INTERVAL).await;
     }
   }
 
-  /// Waits in a thread for a while; true when it was asked for.
+  /// Blocks the thread for `time` or until the part is to stop; returns whether it is to stop.
   pub fn wait_for(&self, time: Duration) -> bool {
-    let end = Instant::now() + time;
-    while !self.is_set() && Instant::now() < end {
-      thread::sleep(POLL.min(time));
+    let deadline = Instant::now() + time;
+    while !self.is_set() && Instant::now() < deadline {
+      thread::sleep(POLL_INTERVAL.min(time));
     }
     self.is_set()
   }
--- a/src/supervisor/tree.rs
+++ b/src/supervisor/tree.rs
@@ -13,50 +13,52 @@
   },
 };
 
-/// The first wait before a failed part is started again; it doubles with each failure.
-const BACK_OFF: Duration = Duration::from_millis(100);
+/// The delay before the first restart of a failed part; it doubles with each failure.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest wait.
-const BACK_OFF_MAX: Duration = Duration::from_secs(5);
+/// The longest delay before a restart.
+const RESTART_DELAY_MAX: Duration = Duration::from_secs(5);
 
-/// A part that fails so often within `WINDOW` takes the process down, so that whoever runs it
-/// starts it anew.
+/// A part that fails this often within `FAILURE_WINDOW` is not restarted: the process exits, and its
+/// service manager restarts it.
 const FAILURES_MAX: u32 = 5;
 
-/// The time in which failures are counted.
-const WINDOW: Duration = Duration::from_mins(1);
+/// The window in which failures are counted.
+const FAILURE_WINDOW: Duration = Duration::from_mins(1);
 
-/// The root of a process: its parts are threads, started in order and stopped in reverse.
+/// Supervises the parts of a process. Each part is a thread; they are stopped in the reverse order
+/// of their start.
 #[derive(Debug)]
 pub struct Tree {
-  children: Vec<Child>,
+  parts: Vec<Part>,
   counter: Arc<Counter>,
-  given_up: (Sender<Fault>, Receiver<Fault>),
+  fatal_faults: (Sender<Fault>, Receiver<Fault>),
 }
 
 #[derive(Debug)]
-struct Child {
+struct Part {
   handle: JoinHandle<()>,
   name: &'static str,
   stop: Stop,
 }
 
 impl Tree {
-  /// A tree without parts.
+  /// Creates a supervisor without parts. Failures are counted in `counter`.
   pub fn new(counter: Arc<Counter>) -> Self {
     Self {
-      children: Vec::new(),
+      parts: Vec::new(),
       counter,
-      given_up: channel::unbounded(),
+      fatal_faults: channel::unbounded(),
     }
   }
 
-  /// Where a part's fault arrives once it has failed too often.
-  pub fn given_up(&self) -> &Receiver<Fault> {
-    &self.given_up.1
+  /// Receives the last fault of each part that has failed too often to be restarted.
+  pub fn fatal_faults(&self) -> &Receiver<Fault> {
+    &self.fatal_faults.1
   }
 
-  /// Starts a part, and starts it again when it fails.
+  /// Starts a part in its own thread and restarts it when it fails or panics. A part that returns
+  /// `Ok` is not restarted.
   pub fn start(
     &mut self,
     name: &'static str,
@@ -64,65 +66,65 @@
   ) -> Result<(), Fault> {
     let stop = Stop::default();
     let counter = Arc::clone(&self.counter);
-    let given_up = self.given_up.0.clone();
+    let fatal_faults = self.fatal_faults.0.clone();
     let handle = thread::Builder::new()
       .name(name.into())
       .spawn({
         let stop = stop.clone();
         move || {
-          if let Err(fault) = keep(name, &stop, &counter, part) {
-            let _ = given_up.send(fault);
+          if let Err(fault) = supervise(name, &stop, &counter, part) {
+            let _ = fatal_faults.send(fault);
           }
         }
       })
       .map_err(|error| Fault::new(Code::ChildGivenUp, format!("{name}: {error}")))?;
-    self.children.push(Child { handle, name, stop });
+    self.parts.push(Part { handle, name, stop });
     Ok(())
   }
 
-  /// Stops the parts, the last started first, and waits for each.
+  /// Stops the parts in the reverse order of their start, waiting for each to end.
   pub fn stop(&mut self) {
-    while let Some(child) = self.children.pop() {
-      child.stop.set();
-      if child.handle.join().is_err() {
-        log::error!("supervisor: {} ended badly.", child.name);
+    while let Some(part) = self.parts.pop() {
+      part.stop.set();
+      if part.handle.join().is_err() {
+        log::error!("supervisor: thread of {} panicked.", part.name);
       }
     }
   }
 }
 
-fn keep(
+fn supervise(
   name: &'static str,
   stop: &Stop,
   counter: &Counter,
   part: impl Fn(&Stop) -> Result<(), Fault>,
 ) -> Result<(), Fault> {
   let mut failures = 0;
-  let mut back_off = BACK_OFF;
-  let mut since = Instant::now();
+  let mut restart_delay = RESTART_DELAY;
+  let mut window_start = Instant::now();
   loop {
     let result = panic::catch_unwind(AssertUnwindSafe(|| part(stop)));
     if stop.is_set() {
       return Ok(());
     }
-    let why = match result {
+    let reason = match result {
       Ok(Ok(())) => return Ok(()),
       Ok(Err(fault)) => fault.to_string(),
       Err(_) => "panic".into(),
     };
     counter.count(Code::ChildFailed);
-    if since.elapsed() > WINDOW {
-      since = Instant::now();
+    if window_start.elapsed() > FAILURE_WINDOW {
+      window_start = Instant::now();
       failures = 0;
-      back_off = BACK_OFF;
+      restart_delay = RESTART_DELAY;
     }
     failures += 1;
-    log::error!("supervisor: {name} failed: {why}.");
+    log::error!("supervisor: {name} failed: {reason}.");
     if failures >= FAILURES_MAX {
       counter.count(Code::ChildGivenUp);
-      return Err(Fault::new(Code::ChildGivenUp, format!("{name}: {why}")));
+      return Err(Fault::new(Code::ChildGivenUp, format!("{name}: {reason}")));
     }
-    stop.wait_for(back_off);
-    back_off = (back_off * 2).min(BACK_OFF_MAX);
+    stop.wait_for(restart_delay);
+    restart_delay = (restart_delay * 2).min(RESTART_DELAY_MAX);
   }
 }
