--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,5 @@
-//! Structured logs on standard output: one line of text or JSON each, never waited for.
+//! Structured logging to standard output, one line of text or JSON per record. Logging never
+//! blocks: lines are dropped if standard output is too slow.
 
 mod lines;
 
@@ -10,21 +11,21 @@
 
 pub use lines::{due, flush, flush_if_due};
 
-/// How a process logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-  /// How lines are written.
+  /// The format of the lines.
   pub format: Format,
   /// The least severe level that is written: `error`, `warn`, `info` or `debug`.
   pub level: String,
 }
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Format {
-  /// One JSON object a line.
+  /// One JSON object per line.
   Json,
   /// Plain text.
   Text,
@@ -39,7 +40,7 @@
   }
 }
 
-/// Starts logging; once a process.
+/// Installs the logger of the process; fails if the level is unknown.
 pub fn start(settings: &Settings) -> Result<(), Fault> {
   let level = match settings.level.as_str() {
     "error" => Level::Error,
@@ -57,7 +58,7 @@
   let format = settings.format;
   let builder = logforth::starter_log::builder()
     .dispatch(|dispatch| dispatch.filter(filter).append(lines::Lines::new(format)));
-  // A process that runs several roles starts it once; the others find it started.
+  // Fails if a logger is installed already, by another role in the same process: that one is kept.
   let _ = builder.try_apply();
   Ok(())
 }
--- a/src/logging/lines.rs
+++ b/src/logging/lines.rs
@@ -12,34 +12,37 @@
   },
 };
 
-/// What one write may hold: a pipe that polls as writable takes so much without blocking
+/// The largest write, in bytes: a pipe that polls as writable accepts this much without blocking
 /// (`PIPE_BUF` on Linux).
-const CHUNK: usize = 4096;
+const WRITE_MAX: usize = 4096;
 
-/// Lines that wait are written once there are so many bytes of them.
-const ENOUGH: usize = 2048;
+/// Buffered lines are written once they reach this size, in bytes.
+const FLUSH_BYTES: usize = 2048;
 
-/// How long a line may wait.
-const WAIT: Duration = Duration::from_millis(100);
+/// How long a line may stay in the buffer.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// The most bytes that wait. Lines beyond that are left out and counted.
-const MOST: usize = 64 << 10;
+/// The capacity of the buffer, in bytes. Lines beyond it are dropped and counted.
+const BUFFER_MAX: usize = 64 << 10;
 
-/// The most bytes of lines in a second. Lines beyond that are left out and counted.
-const RATE: usize = 128 << 10;
+/// The largest number of bytes logged per second. Lines beyond it are dropped and counted.
+const BYTES_PER_SECOND: usize = 128 << 10;
 
-/// The lines of the process.
+/// The log buffer of the process.
 static BUFFER: Mutex<Buffer> = Mutex::new(Buffer::new());
 
-/// Lines that wait to be written.
+/// Lines that have not been written yet.
 struct Buffer {
   bytes: Vec<u8>,
-  /// Whether a thread promises to look at `due`.
+  /// Whether a thread flushes the buffer in time, so that lines need not be written at once.
   deferred: bool,
-  left_out: u64,
-  second: Option<Instant>,
-  since: Option<Instant>,
-  taken: usize,
+  dropped: u64,
+  /// The start of the second that `window_bytes` counts in.
+  window_start: Option<Instant>,
+  /// When the oldest line was buffered, or when the last write left lines over.
+  oldest: Option<Instant>,
+  /// Bytes logged in the current second.
+  window_bytes: usize,
 }
 
 impl Buffer {
@@ -47,50 +50,52 @@
     Self {
       bytes: Vec::new(),
       deferred: false,
-      left_out: 0,
-      second: None,
-      since: None,
-      taken: 0,
+      dropped: 0,
+      window_start: None,
+      oldest: None,
+      window_bytes: 0,
     }
   }
 
   fn push(&mut self, now: Instant, line: &[u8]) {
-    let over = self
-      .second
-      .is_none_or(|second| now.duration_since(second) >= Duration::from_secs(1));
-    if over {
-      self.second = Some(now);
-      self.taken = 0;
+    let is_expired = self
+      .window_start
+      .is_none_or(|window_start| now.duration_since(window_start) >= Duration::from_secs(1));
+    if is_expired {
+      self.window_start = Some(now);
+      self.window_bytes = 0;
     }
-    if self.taken + line.len() > RATE || self.bytes.len() + line.len() > MOST {
-      self.left_out += 1;
+    if self.window_bytes + line.len() > BYTES_PER_SECOND
+      || self.bytes.len() + line.len() > BUFFER_MAX
+    {
+      self.dropped += 1;
       return;
     }
-    if self.left_out > 0 {
-      let count = std::mem::take(&mut self.left_out);
+    if self.dropped > 0 {
+      let count = std::mem::take(&mut self.dropped);
       self
         .bytes
         .extend_from_slice(format!("logs: {count} lines were left out.\n").as_bytes());
     }
-    self.taken += line.len();
+    self.window_bytes += line.len();
     self.bytes.extend_from_slice(line);
-    self.since.get_or_insert(now);
-    if !self.deferred || self.bytes.len() >= ENOUGH {
+    self.oldest.get_or_insert(now);
+    if !self.deferred || self.bytes.len() >= FLUSH_BYTES {
       self.write();
     }
   }
 
-  /// Writes as much as standard output takes without blocking.
+  /// Writes as much as standard output accepts without blocking.
   fn write(&mut self) {
     let mut output = io::stdout().lock();
     while !self.bytes.is_empty() && is_writable() {
-      let length = self.bytes.len().min(CHUNK);
-      // Nobody is left to be told that the log cannot be written.
+      let length = self.bytes.len().min(WRITE_MAX);
+      // There is nowhere to report a failure of the log itself.
       let written = output.write_all(&self.bytes[..length]);
       let _ = written.and_then(|()| output.flush());
       self.bytes.drain(..length);
     }
-    self.since = (!self.bytes.is_empty()).then(Instant::now);
+    self.oldest = (!self.bytes.is_empty()).then(Instant::now);
   }
 }
 
@@ -104,32 +109,36 @@
   BUFFER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// When lines are to be written at the latest. Whoever asks promises to call `flush_if_due` then.
+/// The time at which the buffer has to be flushed; none if it is empty. From the first call on,
+/// lines are no longer written at once: the caller has to call [`flush_if_due`] at that time.
 pub fn due() -> Option<Instant> {
   let mut buffer = buffer();
   buffer.deferred = true;
-  buffer.since.map(|since| since + WAIT)
+  buffer.oldest.map(|oldest| oldest + FLUSH_DELAY)
 }
 
-/// Writes what waits.
+/// Writes the buffered lines, as far as standard output accepts them without blocking.
 pub fn flush() {
   buffer().write();
 }
 
-/// Writes what has waited long enough.
+/// Writes the buffered lines if the oldest has been buffered for long enough.
 pub fn flush_if_due(now: Instant) {
   let mut buffer = buffer();
-  if buffer.since.is_some_and(|since| now >= since + WAIT) {
+  if buffer
+    .oldest
+    .is_some_and(|oldest| now >= oldest + FLUSH_DELAY)
+  {
     buffer.write();
   }
 }
 
-/// Takes the process's log records as lines.
+/// Formats log records as lines and adds them to the buffer.
 #[derive(Debug)]
 pub struct Lines(Format);
 
 impl Lines {
-  /// Lines of a format.
+  /// Creates an appender for a format.
   pub fn new(format: Format) -> Self {
     Self(format)
   }
@@ -151,15 +160,15 @@
   }
 }
 
-/// Milliseconds since 1970 by the clock of the day, which may jump.
-fn at(record: &Record) -> u64 {
-  let at = record.time().duration_since(UNIX_EPOCH);
-  at.map_or(0, |at| at.as_millis() as u64)
+/// The time of a record, in milliseconds since the Unix epoch. The system clock may jump.
+fn unix_ms(record: &Record) -> u64 {
+  let unix_ms = record.time().duration_since(UNIX_EPOCH);
+  unix_ms.map_or(0, |unix_ms| unix_ms.as_millis() as u64)
 }
 
 fn json(record: &Record) -> String {
   let mut line = Map::new();
-  line.insert("at".into(), at(record).into());
+  line.insert("at".into(), unix_ms(record).into());
   line.insert("level".into(), record.level().name().into());
   line.insert("message".into(), record.payload().to_string().into());
   for (key, value) in record.key_values().iter() {
@@ -174,12 +183,12 @@
 fn text(record: &Record) -> String {
   let mut line = format!(
     "{} {} {}",
-    at(record),
+    unix_ms(record),
     record.level().name(),
     record.payload()
   );
   for (key, value) in record.key_values().iter() {
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = write!(line, " {key}={value}");
   }
   line.push('\n');
