--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of the programs, read from TOML files. A full commented sample of each stands in
-//! `samples/`.
+//! Settings of the programs, read from TOML files. `samples/` contains a complete file with
+//! comments for each program.
 
 mod agent;
 mod balancer;
@@ -16,13 +16,13 @@
   },
 };
 
-/// The address to bind for a listed one: another IP number, where settings name it, and the same
-/// port.
-pub fn bound(listed: SocketAddr, bind: Option<IpAddr>) -> SocketAddr {
-  bind.map_or(listed, |ip| SocketAddr::new(ip, listed.port()))
+/// The local address to bind for an address that others connect to: the IP address `bind`, if set,
+/// with the same port.
+pub fn bound(address: SocketAddr, bind: Option<IpAddr>) -> SocketAddr {
+  bind.map_or(address, |ip| SocketAddr::new(ip, address.port()))
 }
 
-/// Reads the settings in `path`; a fault names the file, the line and the key.
+/// Reads settings from the file `path`. A fault contains the path, the line and the reason.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Fault> {
   let text = fs::read_to_string(path).map_err(|error| {
     Fault::new(
@@ -45,14 +45,15 @@
   })
 }
 
-fn check(holds: bool, detail: &str) -> Result<(), Fault> {
-  if holds {
+fn ensure(is_valid: bool, detail: &str) -> Result<(), Fault> {
+  if is_valid {
     return Ok(());
   }
   Err(Fault::new(Code::SettingsInvalid, detail))
 }
 
-/// Whether an address may be listened on without asking who calls.
-fn is_local(address: SocketAddr) -> bool {
+/// Whether only processes on the same host can connect to an address, so that no authentication is
+/// required.
+fn is_loopback(address: SocketAddr) -> bool {
   address.ip().is_loopback()
 }
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -1,5 +1,5 @@
 use {
-  super::{check, is_local},
+  super::{ensure, is_loopback},
   crate::{code::Fault, id, logging},
   serde::{Deserialize, Serialize},
   std::{
@@ -12,37 +12,37 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Agent {
-  /// Where the resource API listens (TCP); loopback only.
+  /// The address of the resource API (HTTP over TCP); loopback only.
   pub api: SocketAddr,
-  /// The IP number that its sockets bind, where it differs from the listed ones.
+  /// The local IP address to bind instead of those in the addresses, for instance behind NAT.
   pub bind: Option<IpAddr>,
-  /// The file with the certificate chain (PEM), read again on SIGHUP.
+  /// The file with the certificate chain (PEM), reloaded on SIGHUP.
   pub certificate: PathBuf,
-  /// Where its peers reach it (TCP), as the platform lists it.
+  /// The control address that peers connect to (TCP), as registered on the platform.
   pub control: SocketAddr,
-  /// The data centre that it stands in.
+  /// The name of its data centre.
   pub data_centre: String,
-  /// Its id on the platform's list.
+  /// Its instance id, as registered on the platform.
   pub instance: id::Instance,
-  /// The file with the private key (PEM), read again on SIGHUP.
+  /// The file with the private key (PEM), reloaded on SIGHUP.
   pub key: PathBuf,
-  /// How it logs.
+  /// Settings of the log.
   pub log: logging::Settings,
-  /// Where metrics are sent (`StatsD` over UDP).
+  /// The server that metrics are sent to (`StatsD` over UDP); none sends no metrics.
   pub metrics: Option<SocketAddr>,
-  /// Some balancers, for a start without a list: their control addresses.
+  /// The control addresses of some balancers, used at start until the instances are known.
   pub peers: Vec<SocketAddr>,
-  /// The platform's service (HTTP), asked only while no balancer can be.
+  /// The address of the platform (HTTP), used only while no balancer can be reached.
   pub platform: SocketAddr,
   /// The largest request body, in bytes.
   pub request_max: u64,
-  /// The service whose target it is.
+  /// The service that its target belongs to.
   pub service: id::Service,
-  /// The target that it is.
+  /// The id of its target.
   pub target: id::Target,
-  /// Where frames reach it (UDP), as the service's document lists it.
+  /// The address that receives frames (UDP), as stated in the service's document.
   pub tunnel: SocketAddr,
-  /// The upstream beside it (HTTP/1.1 over TCP).
+  /// The upstream that it forwards requests to (HTTP/1.1 over TCP).
   pub upstream: SocketAddr,
 }
 
@@ -71,13 +71,13 @@
 }
 
 impl Agent {
-  /// Checks what the types alone do not.
+  /// Checks the values' ranges; fails at the first invalid one.
   pub fn check(&self) -> Result<(), Fault> {
-    check(
-      is_local(self.api),
+    ensure(
+      is_loopback(self.api),
       "found an `api` address that others reach, expected loopback",
     )?;
-    check(
+    ensure(
       self.request_max <= 1 << 30,
       "found `request_max` out of range, expected 1073741824 at most",
     )
--- a/src/settings/balancer.rs
+++ b/src/settings/balancer.rs
@@ -1,5 +1,5 @@
 use {
-  super::{check, is_local},
+  super::{ensure, is_loopback},
   crate::{code::Fault, id, logging},
   serde::{Deserialize, Serialize},
   std::net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -9,31 +9,32 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Balancer {
-  /// Where the resource API listens (TCP); loopback only.
+  /// The address of the resource API (HTTP over TCP); loopback only.
   pub api: SocketAddr,
-  /// The IP number that its sockets bind, where it differs from the listed ones.
+  /// The local IP address to bind instead of those in the addresses, for instance behind NAT.
   pub bind: Option<IpAddr>,
-  /// Where its peers reach it (TCP), as the platform lists it.
+  /// The control address that peers connect to (TCP), as registered on the platform.
   pub control: SocketAddr,
-  /// The data centre that it stands in.
+  /// The name of its data centre.
   pub data_centre: String,
-  /// Its id on the platform's list.
+  /// Its instance id, as registered on the platform.
   pub instance: id::Instance,
-  /// How long it goes on after it was told to stop, in milliseconds, while the fabric learns.
+  /// How long it still forwards packets after a stop signal, in milliseconds, until the fabric
+  /// routes around it.
   pub linger_ms: u64,
-  /// How it logs.
+  /// Settings of the log.
   pub log: logging::Settings,
-  /// Where metrics are sent (`StatsD` over UDP).
+  /// The server that metrics are sent to (`StatsD` over UDP); none sends no metrics.
   pub metrics: Option<SocketAddr>,
-  /// Some peers, for a start without a list: their control addresses.
+  /// The control addresses of some balancers, used at start until the instances are known.
   pub peers: Vec<SocketAddr>,
-  /// The platform's service (HTTP).
+  /// The address of the platform (HTTP).
   pub platform: SocketAddr,
-  /// How many balancers of a data centre read from the platform.
+  /// The number of balancers per data centre that watch the platform.
   pub readers: usize,
-  /// Where frames reach it (UDP), as the platform lists it.
+  /// The address that receives frames (UDP), as registered on the platform.
   pub tunnel: SocketAddr,
-  /// How many threads carry packets.
+  /// The number of threads that forward packets.
   pub workers: usize,
 }
 
@@ -59,17 +60,17 @@
 }
 
 impl Balancer {
-  /// Checks what the types alone do not.
+  /// Checks the values' ranges; fails at the first invalid one.
   pub fn check(&self) -> Result<(), Fault> {
-    check(
-      is_local(self.api),
+    ensure(
+      is_loopback(self.api),
       "found an `api` address that others reach, expected loopback",
     )?;
-    check(
+    ensure(
       (1..=256).contains(&self.workers),
       "found `workers` out of range, expected 1 to 256",
     )?;
-    check(
+    ensure(
       (1..=16).contains(&self.readers),
       "found `readers` out of range, expected 1 to 16",
     )
