--- a/src/bin/agent.rs
+++ b/src/bin/agent.rs
@@ -1,4 +1,4 @@
-//! `fallwell-agent`: stands beside an upstream and owns its flows.
+//! `fallwell-agent`: runs on the same instance as an upstream and terminates its flows.
 
 use {
   fallwell::{agent, code::Fault, process, settings},
@@ -8,11 +8,12 @@
 const HELP: &str = "\
 usage: fallwell-agent --settings FILE [--check]
 
-Stands beside an upstream and owns its flows and requests. On SIGHUP it reads its certificate
-again; on SIGTERM it takes nothing new and ends once its flows have moved.
+Runs on the same instance as an upstream, terminates callers' flows, and forwards their requests to
+the upstream. On SIGHUP it reloads its certificate. On SIGTERM it drains: it accepts no new flows and
+exits once its callers have moved to other targets, or when the time to drain is over.
 
   --settings FILE   read settings from FILE; samples/agent.toml shows them all
-  --check           read and check the settings, and stop
+  --check           read and check the settings, and exit
 ";
 
 fn main() -> ExitCode {
--- a/src/bin/balancer.rs
+++ b/src/bin/balancer.rs
@@ -1,4 +1,4 @@
-//! `fallwell-balancer`: takes callers' packets from the fabric to the targets.
+//! `fallwell-balancer`: forwards callers' packets to the targets that own their flows.
 
 use {
   fallwell::{balancer, code::Fault, process, settings},
@@ -8,10 +8,10 @@
 const HELP: &str = "\
 usage: fallwell-balancer --settings FILE [--check]
 
-Takes callers' packets from the fabric and hands each to the target that has its flow.
+Receives callers' packets from the fabric and forwards each to the target that owns its flow.
 
   --settings FILE   read settings from FILE; samples/balancer.toml shows them all
-  --check           read and check the settings, and stop
+  --check           read and check the settings, and exit
 ";
 
 fn main() -> ExitCode {
--- a/src/bin/fallwell.rs
+++ b/src/bin/fallwell.rs
@@ -1,4 +1,4 @@
-//! `fallwell`: the operators' command line.
+//! `fallwell`: the command line for operators.
 
 use {
   fallwell::{command, process},
--- a/src/bin/standin.rs
+++ b/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! `fallwell-standin`: the stand-ins, for tests and measurements.
+//! `fallwell-standin`: runs one stand-in for a part of the environment, for tests and benchmarks.
 
 use {
   fallwell::{
@@ -40,7 +40,7 @@
       let seed = arguments.opt_value_from_str("--seed").map_err(invalid)?;
       let fronts = arguments
         .values_from_fn("--front", |text| {
-          front(text).ok_or("expected ADDRESS=BACK[,BACK]...")
+          parse_front(text).ok_or("expected ADDRESS=BACK[,BACK]...")
         })
         .map_err(invalid)?;
       runtime.block_on(Fabric::run(listen, fronts, seed.unwrap_or(1)))
@@ -64,7 +64,7 @@
   }
 }
 
-fn front(text: &str) -> Option<Front> {
+fn parse_front(text: &str) -> Option<Front> {
   let (listen, backs) = text.split_once('=')?;
   let backs = backs.split(',').map(str::parse).collect::<Result<_, _>>();
   Some(Front {
