--- a/src/command.rs
+++ b/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of `fallwell`: each verb is a module.
+//! The command line of `fallwell`, with one module per verb.
 
 mod check;
 mod drain_status;
@@ -23,33 +23,33 @@
 const HELP: &str = "\
 usage: fallwell VERB [OPTIONS]
 
-  check         read and check documents and settings
-  describe      show one service: what is wanted, what is in force, and why not
-  drain-status  show what a leaving target still holds
-  dump          show the whole state of a process
+  check         validate documents and settings
+  describe      show the configuration and conditions of one service
+  drain-status  show the remaining flows and requests of a draining target
+  dump          print the state of a process as JSON
   get           list the services
-  probe         open flows, send requests, and report broken flows and times
-  wait          wait until a generation is in force everywhere
-  watch         show the services anew with each change
+  probe         open flows, send requests, and report broken flows and latencies
+  wait          wait until a configuration is in force everywhere
+  watch         list the services after each change
 
-`fallwell VERB --help` shows the options of a verb. Exit codes: 0 done, 1 failed, 2 an argument, a
-document or settings are not valid, 3 a wait has timed out.
+`fallwell VERB --help` shows the options of a verb. Exit codes: 0 success, 1 failure, 2 an argument,
+a document or settings are not valid, 3 a wait has timed out.
 ";
 
 const DUMP_HELP: &str = "\
 usage: fallwell dump (--api ADDRESS | --control ADDRESS)
 
-  --api ADDRESS      ask the resource API of a process
-  --control ADDRESS  ask where its peers reach it
+  --api ADDRESS      the resource API of the process
+  --control ADDRESS  the control address of the process, which its peers connect to
 ";
 
-/// How long one question may take.
-const CALL_MAX: Duration = Duration::from_secs(5);
+/// How long one request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the verb that the arguments name.
+/// Runs the verb in the program's arguments.
 pub fn run() -> Result<(), Fault> {
   let mut arguments = Arguments::from_env();
-  let verb = arguments.subcommand().map_err(invalid)?;
+  let verb = arguments.subcommand().map_err(invalid_argument)?;
   let help = arguments.contains(["-h", "--help"]);
   let runtime = tokio::runtime::Builder::new_multi_thread()
     .worker_threads(2)
@@ -69,7 +69,7 @@
     "probe" => runtime.block_on(probe::run(arguments)),
     "wait" => runtime.block_on(wait::run(arguments)),
     "watch" => runtime.block_on(watch::run(arguments)),
-    _ => Err(unknown(&verb)),
+    _ => Err(unknown_verb(&verb)),
   }
 }
 
@@ -84,18 +84,22 @@
     "probe" => probe::HELP,
     "wait" => wait::HELP,
     "watch" => watch::HELP,
-    _ => return Err(unknown(verb)),
+    _ => return Err(unknown_verb(verb)),
   };
   print!("{help}");
   Ok(())
 }
 
 async fn dump(mut arguments: Arguments) -> Result<(), Fault> {
-  let api: Option<SocketAddr> = arguments.opt_value_from_str("--api").map_err(invalid)?;
-  let control = arguments.opt_value_from_str("--control").map_err(invalid)?;
-  finish(arguments)?;
+  let api: Option<SocketAddr> = arguments
+    .opt_value_from_str("--api")
+    .map_err(invalid_argument)?;
+  let control = arguments
+    .opt_value_from_str("--control")
+    .map_err(invalid_argument)?;
+  reject_unused(arguments)?;
   let text = match (api, control) {
-    (Some(api), None) => ask(api, "/v1/state").await?.to_string(),
+    (Some(api), None) => fetch(api, "/v1/state").await?.to_string(),
     (None, Some(control)) => Client::new(None).dump(control).await?,
     _ => {
       return Err(Fault::new(
@@ -108,9 +112,9 @@
   Ok(())
 }
 
-/// Reads JSON from the resource API of a process.
-async fn ask(api: SocketAddr, path: &str) -> Result<Value, Fault> {
-  let (status, body) = web::request(api, Method::GET, path, "", CALL_MAX).await?;
+/// Fetches JSON from the resource API of a process; a failure has the result code of its response.
+async fn fetch(api: SocketAddr, path: &str) -> Result<Value, Fault> {
+  let (status, body) = web::request(api, Method::GET, path, "", REQUEST_TIMEOUT).await?;
   let value: Value = serde_json::from_slice(&body)
     .map_err(|error| Fault::new(Code::PeerUnreachable, format!("{api}: {error}")))?;
   if status.is_success() {
@@ -122,25 +126,25 @@
   Err(Fault::new(code, format!("{api}: {detail}")))
 }
 
-/// Fails when an argument is left that no option took.
-fn finish(arguments: Arguments) -> Result<(), Fault> {
+/// Fails if there are arguments that no option has consumed.
+fn reject_unused(arguments: Arguments) -> Result<(), Fault> {
   match arguments.finish().first() {
-    Some(rest) => Err(Fault::new(
+    Some(unused) => Err(Fault::new(
       Code::ArgumentInvalid,
       format!(
         "found `{}`, expected an option that `--help` lists",
-        rest.display()
+        unused.display()
       ),
     )),
     None => Ok(()),
   }
 }
 
-fn invalid(error: pico_args::Error) -> Fault {
+fn invalid_argument(error: pico_args::Error) -> Fault {
   Fault::new(Code::ArgumentInvalid, error)
 }
 
-fn unknown(verb: &str) -> Fault {
+fn unknown_verb(verb: &str) -> Fault {
   Fault::new(
     Code::ArgumentInvalid,
     format!("found verb `{verb}`, expected one that `fallwell --help` lists"),
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,5 +1,5 @@
 use {
-  super::{finish, invalid},
+  super::{invalid_argument, reject_unused},
   crate::{
     code::{Code, Fault},
     config::{Document, Key},
@@ -9,24 +9,30 @@
   std::{fs, path::PathBuf},
 };
 
-/// The help of the verb.
+/// The help text of `check`.
 pub const HELP: &str = "\
 usage: fallwell check [--document KEY=FILE]... [--agent FILE]... [--balancer FILE]...
 
-Reads and checks without changing anything. Run it before publishing.
+Validates files without publishing them.
 
   --agent FILE         settings of fallwell-agent
   --balancer FILE      settings of fallwell-balancer
-  --document KEY=FILE  a document and the key that it is to stand under, such as
+  --document KEY=FILE  a document and the key that it will be published under, such as
                        service/1=dispatch.json
 ";
 
-/// Checks each file and stops at the first fault.
+/// Validates each file; fails at the first invalid one.
 pub fn run(mut arguments: Arguments) -> Result<(), Fault> {
-  let documents: Vec<String> = arguments.values_from_str("--document").map_err(invalid)?;
-  let agents: Vec<PathBuf> = arguments.values_from_str("--agent").map_err(invalid)?;
-  let balancers: Vec<PathBuf> = arguments.values_from_str("--balancer").map_err(invalid)?;
-  finish(arguments)?;
+  let documents: Vec<String> = arguments
+    .values_from_str("--document")
+    .map_err(invalid_argument)?;
+  let agents: Vec<PathBuf> = arguments
+    .values_from_str("--agent")
+    .map_err(invalid_argument)?;
+  let balancers: Vec<PathBuf> = arguments
+    .values_from_str("--balancer")
+    .map_err(invalid_argument)?;
+  reject_unused(arguments)?;
   if documents.is_empty() && agents.is_empty() && balancers.is_empty() {
     return Err(Fault::new(Code::ArgumentInvalid, "found nothing to check"));
   }
--- a/src/command/drain_status.rs
+++ b/src/command/drain_status.rs
@@ -1,26 +1,28 @@
 use {
-  super::{ask, finish, invalid, output::Output},
+  super::{fetch, invalid_argument, output::Output, reject_unused},
   crate::code::Fault,
   pico_args::Arguments,
   std::net::SocketAddr,
 };
 
-/// The help of the verb.
+/// The help text of `drain-status`.
 pub const HELP: &str = "\
 usage: fallwell drain-status --api ADDRESS [--output json|table]
 
-Shows what a target's agent still holds: once it leaves, both numbers fall to zero as its callers
-move.
+Shows the open flows and unfinished requests of a target's agent. While the target drains, both
+fall to zero as its callers move to other targets.
 
   --api ADDRESS   the resource API of the agent
 ";
 
-/// Shows what an agent still holds.
+/// Prints the number of flows and requests of an agent.
 pub async fn run(mut arguments: Arguments) -> Result<(), Fault> {
-  let api: SocketAddr = arguments.value_from_str("--api").map_err(invalid)?;
-  let output = Output::take(&mut arguments)?;
-  finish(arguments)?;
-  let state = ask(api, "/v1/state").await?;
+  let api: SocketAddr = arguments
+    .value_from_str("--api")
+    .map_err(invalid_argument)?;
+  let output = Output::from_arguments(&mut arguments)?;
+  reject_unused(arguments)?;
+  let state = fetch(api, "/v1/state").await?;
   let path = &state["path"];
   if output == Output::Json {
     println!("{path:#}");
--- a/src/command/get.rs
+++ b/src/command/get.rs
@@ -1,50 +1,56 @@
 use {
-  super::{ask, finish, invalid, output::Output},
+  super::{fetch, invalid_argument, output::Output, reject_unused},
   crate::code::Fault,
   pico_args::Arguments,
   serde_json::Value,
   std::net::SocketAddr,
 };
 
-/// The help of `get`.
+/// The help text of `get`.
 pub const HELP: &str = "\
 usage: fallwell get --api ADDRESS [--output json|table]
 
-Lists the services that a balancer or an agent has in force.
+Lists the services in the configuration of a balancer or an agent.
 
   --api ADDRESS         the resource API of a process
-  --output json|table   how to write them
+  --output json|table   the output format (table)
 ";
 
-/// The help of `describe`.
+/// The help text of `describe`.
 pub const DESCRIBE_HELP: &str = "\
 usage: fallwell describe --api ADDRESS --service ID|NAME
 
-Shows one service as JSON: its document, its conditions, and the reason of a refusal.
+Shows one service as JSON: its document, its conditions, and why a document was refused.
 ";
 
-/// Lists the services.
+/// Prints the services of a process.
 pub async fn run(mut arguments: Arguments) -> Result<(), Fault> {
-  let api: SocketAddr = arguments.value_from_str("--api").map_err(invalid)?;
-  let output = Output::take(&mut arguments)?;
-  finish(arguments)?;
-  let services = ask(api, "/v1/services").await?;
-  show(&services, output);
+  let api: SocketAddr = arguments
+    .value_from_str("--api")
+    .map_err(invalid_argument)?;
+  let output = Output::from_arguments(&mut arguments)?;
+  reject_unused(arguments)?;
+  let services = fetch(api, "/v1/services").await?;
+  print_services(&services, output);
   Ok(())
 }
 
-/// Shows one service.
+/// Prints one service as JSON.
 pub async fn describe(mut arguments: Arguments) -> Result<(), Fault> {
-  let api: SocketAddr = arguments.value_from_str("--api").map_err(invalid)?;
-  let service: String = arguments.value_from_str("--service").map_err(invalid)?;
-  finish(arguments)?;
-  let resource = ask(api, &format!("/v1/services/{service}")).await?;
+  let api: SocketAddr = arguments
+    .value_from_str("--api")
+    .map_err(invalid_argument)?;
+  let service: String = arguments
+    .value_from_str("--service")
+    .map_err(invalid_argument)?;
+  reject_unused(arguments)?;
+  let resource = fetch(api, &format!("/v1/services/{service}")).await?;
   println!("{resource:#}");
   Ok(())
 }
 
-/// Writes a list of services.
-pub fn show(services: &Value, output: Output) {
+/// Prints a list of services in the output format.
+pub fn print_services(services: &Value, output: Output) {
   if output == Output::Json {
     println!("{services:#}");
     return;
@@ -57,9 +63,9 @@
     let document = &service["document"];
     println!(
       "{:>6} {:>10} {:>8} {:>8} {:>8} {:>8}  {}",
-      text(&service["id"]),
-      text(&service["generation"]),
-      text(&service["revision"]),
+      table_cell(&service["id"]),
+      table_cell(&service["generation"]),
+      table_cell(&service["revision"]),
       service["conditions"]["accepted"]["status"],
       service["conditions"]["in_force"]["status"],
       document["targets"].as_array().map_or(0, Vec::len),
@@ -68,8 +74,8 @@
   }
 }
 
-/// A value in a table; datagram services have a name and no id.
-fn text(value: &Value) -> String {
+/// Formats a value for a table; datagram services have no id.
+fn table_cell(value: &Value) -> String {
   match value {
     Value::Null => "-".into(),
     value => value.to_string(),
--- a/src/command/output.rs
+++ b/src/command/output.rs
@@ -1,23 +1,25 @@
 use {
-  super::invalid,
+  super::invalid_argument,
   crate::code::{Code, Fault},
   pico_args::Arguments,
   std::str::FromStr,
 };
 
-/// How a verb writes what it found.
+/// The output format of a verb.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Output {
-  /// As JSON.
+  /// Indented JSON.
   Json,
-  /// As lines of columns.
+  /// Plain text, in columns where there are several rows.
   Table,
 }
 
 impl Output {
-  /// Takes `--output` from the arguments; a table is the default.
-  pub fn take(arguments: &mut Arguments) -> Result<Self, Fault> {
-    let output = arguments.opt_value_from_str("--output").map_err(invalid)?;
+  /// Parses `--output`; the default is a table.
+  pub fn from_arguments(arguments: &mut Arguments) -> Result<Self, Fault> {
+    let output = arguments
+      .opt_value_from_str("--output")
+      .map_err(invalid_argument)?;
     Ok(output.unwrap_or(Self::Table))
   }
 }
