--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,5 @@
-//! The resource API: what is wanted, what is in force, and the state dump, as HTTP/JSON.
+//! The resource API (HTTP/JSON): the services with their documents and conditions, counters, and
+//! the state dump.
 
 use {
   crate::{
@@ -20,10 +21,10 @@
   },
 };
 
-/// How long a watch waits for a change.
-const WATCH_MAX: Duration = Duration::from_secs(30);
+/// The default and the longest time that a watch waits for a change.
+const WATCH_TIMEOUT_MAX: Duration = Duration::from_secs(30);
 
-/// Serves the API of a process.
+/// Serves the resource API of a process until the future is dropped.
 pub async fn serve(address: SocketAddr, node: Arc<Node>) -> Result<(), Fault> {
   web::serve(address, move |request: Request<Incoming>| {
     let node = Arc::clone(&node);
@@ -34,22 +35,22 @@
 
 async fn handle(node: &Node, request: &Request<Incoming>) -> Response<Full<Bytes>> {
   if request.method() != Method::GET {
-    return fault(
+    return error_response(
       StatusCode::METHOD_NOT_ALLOWED,
       &format!("found method `{}`, expected `GET`", request.method()),
     );
   }
   let path = request.uri().path();
   match path {
-    "/v1/counters" => reply(StatusCode::OK, &json!(node.counter().snapshot())),
-    "/v1/health" => reply(StatusCode::OK, &json!({ "healthy": true })),
+    "/v1/counters" => json_response(StatusCode::OK, &json!(node.counter().snapshot())),
+    "/v1/health" => json_response(StatusCode::OK, &json!({ "healthy": true })),
     "/v1/ready" => ready(node),
-    "/v1/services" => reply(StatusCode::OK, &services(node)),
+    "/v1/services" => json_response(StatusCode::OK, &services(node)),
     "/v1/state" => web::answer(StatusCode::OK, node.registry().text()),
     "/v1/watch" => watch(node, request.uri().query()).await,
     _ => match path.strip_prefix("/v1/services/") {
       Some(id) => service(node, id),
-      None => fault(StatusCode::NOT_FOUND, &format!("found path `{path}`")),
+      None => error_response(StatusCode::NOT_FOUND, &format!("found path `{path}`")),
     },
   }
 }
@@ -61,10 +62,10 @@
   } else {
     StatusCode::SERVICE_UNAVAILABLE
   };
-  reply(status, &json!({ "ready": ready }))
+  json_response(status, &json!({ "ready": ready }))
 }
 
-/// The version of the configuration that the packet path has taken.
+/// The version of the configuration that packets are forwarded by; none before the first one.
 fn in_force_version(node: &Node) -> Option<u64> {
   node.registry().get("path")?.get("version")?.as_u64()
 }
@@ -73,7 +74,7 @@
   let version = in_force_version(node);
   let machine = node.machine();
   let services = machine.store().services().map(|(_, service)| {
-    resource(
+    service_json(
       machine.store(),
       service.id,
       version == Some(machine.version()),
@@ -84,7 +85,7 @@
 
 fn service(node: &Node, id: &str) -> Response<Full<Bytes>> {
   let Ok(id) = id.parse::<id::Service>() else {
-    return fault(
+    return error_response(
       StatusCode::BAD_REQUEST,
       &format!("found service `{id}`, expected a number"),
     );
@@ -92,14 +93,18 @@
   let version = in_force_version(node);
   let machine = node.machine();
   if machine.store().revision(Key::Service(id)).is_none() {
-    return fault(StatusCode::NOT_FOUND, &format!("found no service {id}"));
+    return error_response(StatusCode::NOT_FOUND, &format!("found no service {id}"));
   }
-  let current = version == Some(machine.version());
-  reply(StatusCode::OK, &resource(machine.store(), id, current))
+  let is_current = version == Some(machine.version());
+  json_response(
+    StatusCode::OK,
+    &service_json(machine.store(), id, is_current),
+  )
 }
 
-/// A service as the API shows it.
-fn resource(store: &Store, id: id::Service, current: bool) -> Value {
+/// The representation of a service. `is_current` says whether the packet path has applied the latest
+/// configuration.
+fn service_json(store: &Store, id: id::Service, is_current: bool) -> Value {
   let key = Key::Service(id);
   let service = store.service(id);
   let fault = store.fault(key);
@@ -112,9 +117,9 @@
   });
   json!({
     "conditions": {
-      "accepted": condition(fault.is_none(), fault),
+      "accepted": accepted_condition(fault.is_none(), fault),
       "draining": { "status": leaving > 0, "targets": leaving },
-      "in_force": { "status": current && service.is_some() },
+      "in_force": { "status": is_current && service.is_some() },
     },
     "document": service,
     "generation": service.map(|service| service.generation),
@@ -124,7 +129,7 @@
   })
 }
 
-fn condition(status: bool, fault: Option<&Fault>) -> Value {
+fn accepted_condition(status: bool, fault: Option<&Fault>) -> Value {
   json!({
     "code": fault.map(|fault| fault.code.number()),
     "reason": fault.map(ToString::to_string),
@@ -135,37 +140,37 @@
 async fn watch(node: &Node, query: Option<&str>) -> Response<Full<Bytes>> {
   let after = web::parameter(query, "after").unwrap_or("0");
   let Ok(after) = after.parse::<u64>() else {
-    return fault(
+    return error_response(
       StatusCode::BAD_REQUEST,
       &format!("found `{after}`, expected a number, in `after`"),
     );
   };
   let wait = web::parameter(query, "wait_ms").map(str::parse::<u64>);
   let wait = match wait {
-    None => WATCH_MAX,
-    Some(Ok(milliseconds)) => Duration::from_millis(milliseconds).min(WATCH_MAX),
+    None => WATCH_TIMEOUT_MAX,
+    Some(Ok(milliseconds)) => Duration::from_millis(milliseconds).min(WATCH_TIMEOUT_MAX),
     Some(Err(_)) => {
-      return fault(StatusCode::BAD_REQUEST, "expected a number, in `wait_ms`");
+      return error_response(StatusCode::BAD_REQUEST, "expected a number, in `wait_ms`");
     }
   };
-  let end = Instant::now() + wait;
-  while node.machine().version() <= after && Instant::now() < end {
+  let deadline = Instant::now() + wait;
+  while node.machine().version() <= after && Instant::now() < deadline {
     tokio::time::sleep(Duration::from_millis(50)).await;
   }
   let version = node.machine().version();
-  reply(
+  json_response(
     StatusCode::OK,
     &json!({ "services": services(node), "version": version }),
   )
 }
 
-fn reply(status: StatusCode, value: &Value) -> Response<Full<Bytes>> {
+fn json_response(status: StatusCode, value: &Value) -> Response<Full<Bytes>> {
   web::answer(status, value.to_string())
 }
 
-fn fault(status: StatusCode, detail: &str) -> Response<Full<Bytes>> {
+fn error_response(status: StatusCode, detail: &str) -> Response<Full<Bytes>> {
   let code = Code::ArgumentInvalid;
-  reply(
+  json_response(
     status,
     &json!({ "code": code.number(), "detail": detail, "title": code.text() }),
   )
