--- a/src/caller.rs
+++ b/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: HTTP/3 over QUIC, for the probe of the command line, the tests and the quickstart.
+//! An HTTP/3 client over QUIC, for the `probe` verb, the tests and the quickstart example.
 
 use {
   crate::code::{Code, Fault},
@@ -20,16 +20,16 @@
   tokio::time::timeout,
 };
 
-/// How long a flow survives without a word from the other side.
-const IDLE_MS: u32 = 60_000;
+/// The idle timeout of a flow, in milliseconds.
+const IDLE_TIMEOUT_MS: u32 = 60_000;
 
-/// How often a quiet flow is kept alive.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// The interval between keep-alive packets on an idle flow.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long opening a flow may take.
-const OPEN_MAX: Duration = Duration::from_secs(10);
+/// How long the handshake of a flow may take.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A flow that a caller has open.
+/// An open flow to a service. Clones share the flow.
 #[derive(Clone)]
 pub struct Caller {
   connection: Connection,
@@ -38,46 +38,46 @@
   requests: SendRequest<OpenStreams, Bytes>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-  /// Its body.
+  /// The response body.
   pub body: Bytes,
-  /// Its headers.
+  /// The response headers.
   pub headers: HeaderMap,
-  /// Its status.
+  /// The response status.
   pub status: StatusCode,
 }
 
-/// A request that is not whole yet.
-pub struct Begun {
+/// A request whose end has not been sent yet.
+pub struct UnfinishedRequest {
   stream: RequestStream<BidiStream<Bytes>, Bytes>,
 }
 
-/// An answer that goes on.
+/// A response whose body is read chunk by chunk.
 pub struct Feed {
   stream: RequestStream<BidiStream<Bytes>, Bytes>,
 }
 
 impl Caller {
-  /// Opens a flow to a service whose certificate is signed for `name` by one of `roots`.
+  /// Opens a flow to a service. Its certificate has to be issued for `name` by one of `roots`.
   pub async fn open(
     service: SocketAddr,
     name: &str,
     roots: &[CertificateDer<'static>],
   ) -> Result<Self, Fault> {
-    let config = client(roots).map_err(failed)?;
+    let config = client_config(roots).map_err(unknown_outcome)?;
     let local = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-    let mut endpoint = Endpoint::client(local).map_err(failed)?;
+    let mut endpoint = Endpoint::client(local).map_err(unknown_outcome)?;
     endpoint.set_default_client_config(config);
-    let connecting = endpoint.connect(service, name).map_err(failed)?;
-    let connection = timeout(OPEN_MAX, connecting)
+    let connecting = endpoint.connect(service, name).map_err(unknown_outcome)?;
+    let connection = timeout(OPEN_TIMEOUT, connecting)
       .await
-      .map_err(failed)?
-      .map_err(failed)?;
+      .map_err(unknown_outcome)?
+      .map_err(unknown_outcome)?;
     let (mut driver, requests) = h3::client::new(h3_quinn::Connection::new(connection.clone()))
       .await
-      .map_err(failed)?;
+      .map_err(unknown_outcome)?;
     tokio::spawn(async move { future::poll_fn(|context| driver.poll_close(context)).await });
     Ok(Self {
       connection,
@@ -87,13 +87,13 @@
     })
   }
 
-  /// Ends the flow.
+  /// Closes the flow, and waits up to a second until the service has been notified.
   pub async fn close(self) {
     self.connection.close(VarInt::from_u32(0x100), b"done");
     let _ = timeout(Duration::from_secs(1), self.endpoint.wait_idle()).await;
   }
 
-  /// Why the flow has ended, if it has.
+  /// Why the flow was closed; none while it is open.
   pub fn ended(&self) -> Option<String> {
     self
       .connection
@@ -101,30 +101,30 @@
       .map(|reason| reason.to_string())
   }
 
-  /// Sends a GET whose answer goes on.
+  /// Sends a GET request with a streamed response; fails unless its status is 200.
   pub async fn feed(&self, path: &str) -> Result<Feed, Fault> {
     let mut stream = self.send(Method::GET, path, &[], Bytes::new()).await?;
-    let head = stream.recv_response().await.map_err(failed)?;
+    let head = stream.recv_response().await.map_err(unknown_outcome)?;
     if head.status() != StatusCode::OK {
-      return Err(failed(format!("status {}", head.status())));
+      return Err(unknown_outcome(format!("status {}", head.status())));
     }
     Ok(Feed { stream })
   }
 
-  /// Moves the flow to another local address, as a phone does that changes its network.
+  /// Migrates the flow to another local address, as when a phone changes its network.
   pub fn rebind(&self) -> Result<(), Fault> {
     let local = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-    let socket = UdpSocket::bind(local).map_err(failed)?;
-    self.endpoint.rebind(socket).map_err(failed)
+    let socket = UdpSocket::bind(local).map_err(unknown_outcome)?;
+    self.endpoint.rebind(socket).map_err(unknown_outcome)
   }
 
-  /// Begins a request without a body, whose end the caller says later.
-  pub async fn begin(&self, method: Method, path: &str) -> Result<Begun, Fault> {
+  /// Sends the head of a request without a body; [`UnfinishedRequest::finish`] ends the request.
+  pub async fn begin(&self, method: Method, path: &str) -> Result<UnfinishedRequest, Fault> {
     let stream = self.open_request(method, path, &[], 0).await?;
-    Ok(Begun { stream })
+    Ok(UnfinishedRequest { stream })
   }
 
-  /// Sends a request and waits for the whole answer.
+  /// Sends a request and waits for the complete response.
   pub async fn request(
     &self,
     method: Method,
@@ -133,10 +133,10 @@
     body: impl Into<Bytes>,
   ) -> Result<Answer, Fault> {
     let mut stream = self.send(method, path, headers, body.into()).await?;
-    let head = stream.recv_response().await.map_err(failed)?;
+    let head = stream.recv_response().await.map_err(unknown_outcome)?;
     let mut body = Vec::new();
-    while let Some(piece) = stream.recv_data().await.map_err(failed)? {
-      body.extend_from_slice(piece.chunk());
+    while let Some(chunk) = stream.recv_data().await.map_err(unknown_outcome)? {
+      body.extend_from_slice(chunk.chunk());
     }
     Ok(Answer {
       body: body.into(),
@@ -145,7 +145,7 @@
     })
   }
 
-  /// The measured round trip to the target, through the balancers.
+  /// The estimated round-trip time to the target, including the balancers.
   pub fn round_trip(&self) -> Duration {
     self.connection.rtt()
   }
@@ -159,9 +159,9 @@
   ) -> Result<RequestStream<BidiStream<Bytes>, Bytes>, Fault> {
     let mut stream = self.open_request(method, path, headers, body.len()).await?;
     if !body.is_empty() {
-      stream.send_data(body).await.map_err(failed)?;
+      stream.send_data(body).await.map_err(unknown_outcome)?;
     }
-    stream.finish().await.map_err(failed)?;
+    stream.finish().await.map_err(unknown_outcome)?;
     Ok(stream)
   }
 
@@ -170,45 +170,48 @@
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
-    length: usize,
+    body_len: usize,
   ) -> Result<RequestStream<BidiStream<Bytes>, Bytes>, Fault> {
     let mut request = Request::builder()
       .method(method)
       .uri(format!("https://{}{path}", self.name));
-    if length > 0 {
-      request = request.header("content-length", length);
+    if body_len > 0 {
+      request = request.header("content-length", body_len);
     }
     for (name, value) in headers {
       request = request.header(*name, *value);
     }
-    let request = request.body(()).map_err(failed)?;
+    let request = request.body(()).map_err(unknown_outcome)?;
     let mut requests = self.requests.clone();
-    requests.send_request(request).await.map_err(failed)
+    requests
+      .send_request(request)
+      .await
+      .map_err(unknown_outcome)
   }
 }
 
-impl Begun {
-  /// Waits for the answer's status.
+impl UnfinishedRequest {
+  /// Waits for the status of the response, without its body.
   pub async fn status(&mut self) -> Result<StatusCode, Fault> {
-    let head = self.stream.recv_response().await.map_err(failed)?;
+    let head = self.stream.recv_response().await.map_err(unknown_outcome)?;
     Ok(head.status())
   }
 
-  /// Says that the request is whole.
+  /// Ends the request.
   pub async fn finish(&mut self) -> Result<(), Fault> {
-    self.stream.finish().await.map_err(failed)
+    self.stream.finish().await.map_err(unknown_outcome)
   }
 }
 
 impl Feed {
-  /// The next piece; none at the feed's end.
+  /// Waits for the next chunk of the body; none at its end.
   pub async fn next(&mut self) -> Result<Option<Bytes>, Fault> {
-    let piece = self.stream.recv_data().await.map_err(failed)?;
-    Ok(piece.map(|mut piece| piece.copy_to_bytes(piece.remaining())))
+    let chunk = self.stream.recv_data().await.map_err(unknown_outcome)?;
+    Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining())))
   }
 }
 
-fn client(roots: &[CertificateDer<'static>]) -> eyre::Result<ClientConfig> {
+fn client_config(roots: &[CertificateDer<'static>]) -> eyre::Result<ClientConfig> {
   let mut store = RootCertStore::empty();
   for root in roots {
     store.add(root.clone())?;
@@ -222,12 +225,12 @@
   let mut config = ClientConfig::new(Arc::new(QuicClientConfig::try_from(tls)?));
   let mut transport = TransportConfig::default();
   transport
-    .keep_alive_interval(Some(KEEP_ALIVE))
-    .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_MS))));
+    .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
+    .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
   config.transport_config(Arc::new(transport));
   Ok(config)
 }
 
-fn failed(error: impl std::fmt::Display) -> Fault {
+fn unknown_outcome(error: impl std::fmt::Display) -> Fault {
   Fault::new(Code::RequestOutcomeUnknown, error)
 }
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,4 +1,4 @@
-//! Small HTTP/1.1 requests and services, for the platform, the resource API and the stand-ins.
+//! A minimal HTTP/1.1 client and server, for the platform, the resource API and the stand-ins.
 
 use {
   crate::code::{Code, Fault},
@@ -19,13 +19,14 @@
   },
 };
 
-/// The largest answer that is read, in bytes.
-const ANSWER_MAX: usize = 16 << 20;
+/// The largest response body that is accepted, in bytes.
+const RESPONSE_BYTES_MAX: usize = 16 << 20;
 
-/// How long a service waits for the head of a request.
-const HEAD_MAX: Duration = Duration::from_secs(10);
+/// How long a server waits for the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Sends one request and reads the whole answer within `limit`.
+/// Sends one request over a new connection and returns the status and the complete body; fails
+/// after `limit`.
 pub async fn request(
   to: SocketAddr,
   method: Method,
@@ -41,14 +42,14 @@
     .header("host", to.to_string())
     .body(Full::new(body.into()))
     .map_err(|error| failed(&error))?;
-  match timeout(limit, exchange(to, request)).await {
+  match timeout(limit, send(to, request)).await {
     Ok(Ok(answer)) => Ok(answer),
     Ok(Err(error)) => Err(failed(&error)),
     Err(elapsed) => Err(failed(&elapsed)),
   }
 }
 
-async fn exchange(
+async fn send(
   to: SocketAddr,
   request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), Box<dyn Error + Send + Sync>> {
@@ -57,14 +58,14 @@
   let task = tokio::spawn(connection);
   let answer = sender.send_request(request).await?;
   let status = answer.status();
-  let body = Limited::new(answer.into_body(), ANSWER_MAX)
+  let body = Limited::new(answer.into_body(), RESPONSE_BYTES_MAX)
     .collect()
     .await?;
   task.abort();
   Ok((status, body.to_bytes()))
 }
 
-/// Binds an address and serves requests at it until the task is dropped.
+/// Binds an address and serves requests until the future is dropped.
 pub async fn serve<F, R, B>(address: SocketAddr, handle: F) -> Result<(), Fault>
 where
   F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -78,7 +79,7 @@
   accept(listener, handle).await
 }
 
-/// Serves requests at a bound address until the task is dropped.
+/// Serves requests on a listener until the future is dropped.
 pub async fn accept<F, R, B>(listener: TcpListener, handle: F) -> Result<(), Fault>
 where
   F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -99,21 +100,21 @@
       });
       let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_MAX)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     });
   }
 }
 
-/// A whole answer.
+/// Creates a response with a status and a complete body.
 pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
   let mut response = Response::new(Full::new(body.into()));
   *response.status_mut() = status;
   response
 }
 
-/// The value of a parameter in a request's query.
+/// The value of the query parameter `name`, without percent-decoding; none if it is missing.
 pub fn parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
   query?.split('&').find_map(|pair| {
     let (key, value) = pair.split_once('=')?;
