--- a/src/code.rs
+++ b/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes. `docs/RESULTS.md` lists each with its cause and what to do.
+//! Numbered result codes. `docs/RESULTS.md` lists each with its cause and its remedy.
 
 use {
   serde::{Deserialize, Serialize},
@@ -7,32 +7,32 @@
 
 macro_rules! codes {
   ($($name:ident = $number:literal, $text:literal;)*) => {
-    /// A result code: hundreds for documents and settings, two hundreds for packets and frames,
-    /// three hundreds for requests, four hundreds for processes.
+    /// A result code: 100 to 199 concern documents and settings, 200 to 299 packets and frames,
+    /// 300 to 399 requests, and 400 to 499 processes.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
     pub enum Code {
       $(#[doc = $text] $name,)*
     }
 
     impl Code {
-      /// Every code, in the order of its number.
+      /// All codes, ordered by number.
       pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-      /// The number that documents and messages give.
+      /// The number that identifies the code in documents and messages.
       pub fn number(self) -> u16 {
         match self {
           $(Self::$name => $number,)*
         }
       }
 
-      /// What happened, in a few lower-case words.
+      /// A short description, in lower case.
       pub fn text(self) -> &'static str {
         match self {
           $(Self::$name => $text,)*
         }
       }
 
-      /// The code with this number.
+      /// The code with this number; none if it is not assigned.
       pub fn from_number(number: u16) -> Option<Self> {
         match number {
           $($number => Some(Self::$name),)*
@@ -103,18 +103,18 @@
   }
 }
 
-/// A code with the place and the value that it was found at.
+/// An error: a result code with details.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, thiserror::Error)]
 #[error("{code}: {detail}")]
 pub struct Fault {
-  /// What happened.
+  /// The kind of error.
   pub code: Code,
-  /// What was found, what was expected, and where.
+  /// What was found, what was expected, and where, such as the path of a file.
   pub detail: String,
 }
 
 impl Fault {
-  /// A fault of `code` with its details.
+  /// Creates a fault of `code` with the text of `detail`.
   pub fn new(code: Code, detail: impl Display) -> Self {
     Self {
       code,
