--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for what fallwell meets in the field: the platform, upstreams, and a fabric
-//! that sprays packets and injects faults. For tests, measurements and the quickstart only.
+//! Simple replacements for the environment of balancers and agents: the platform, upstreams, a
+//! relay, and a fabric that injects faults. For tests, benchmarks and the quickstart example only.
 
 mod fabric;
 mod fault;
--- a/src/standin/fabric.rs
+++ b/src/standin/fabric.rs
@@ -32,21 +32,21 @@
 /// The largest datagram, in bytes.
 const DATAGRAM_MAX: usize = 1 << 16;
 
-/// How often a carried connection looks whether it is cut.
-const STEP: Duration = Duration::from_millis(50);
+/// How often a forwarded connection checks whether it is cut off.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An address that the fabric stands before, and who is behind it.
+/// An address that the fabric listens on, and the addresses that it forwards to.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-  /// Who its packets go to, any packet to any.
+  /// The destinations; each packet goes to a random one.
   pub backs: Vec<SocketAddr>,
-  /// The address that others reach.
+  /// The address that senders connect to.
   pub listen: SocketAddr,
 }
 
-/// Sprays each datagram to a random back, from a socket for each sender, and carries TCP to the
-/// first back; both with the faults of its plan.
+/// A network with faults. It forwards each datagram to a random back of its front, using one
+/// socket per sender, and TCP connections to the first back. The faults are those of its [`Plan`].
 #[derive(Debug, Default)]
 pub struct Fabric {
   datagram_bytes: AtomicU64,
@@ -56,17 +56,22 @@
   stream_bytes: AtomicU64,
 }
 
-struct Line {
+/// Forwards the datagrams of one sender to a front.
+struct Session {
   caller: SocketAddr,
   fabric: Arc<Fabric>,
   front: Arc<UdpSocket>,
   listen: SocketAddr,
-  session: Arc<UdpSocket>,
+  socket: Arc<UdpSocket>,
 }
 
 impl Fabric {
-  /// Runs the fronts and the control address.
-  pub async fn run(control: SocketAddr, fronts: Vec<Front>, seed: u64) -> Result<(), Fault> {
+  /// Opens the fronts, and serves the control API until the future is dropped.
+  pub async fn run(
+    control_address: SocketAddr,
+    fronts: Vec<Front>,
+    seed: u64,
+  ) -> Result<(), Fault> {
     let fabric = Arc::new(Self::default());
     for (index, front) in fronts.into_iter().enumerate() {
       Arc::clone(&fabric)
@@ -75,9 +80,9 @@
     }
     let handler = move |request: Request<Incoming>| {
       let fabric = Arc::clone(&fabric);
-      async move { fabric.control(request).await }
+      async move { fabric.handle_control(request).await }
     };
-    web::serve(control, handler).await
+    web::serve(control_address, handler).await
   }
 
   async fn open(self: Arc<Self>, front: Front, seed: u64) -> Result<(), Fault> {
@@ -90,42 +95,47 @@
     let socket = UdpSocket::bind(front.listen).await.map_err(failed)?;
     let listener = TcpListener::bind(front.listen).await.map_err(failed)?;
     lock(&self.fronts).insert(front.listen, front.backs.clone());
-    tokio::spawn(Arc::clone(&self).spray(front.listen, Arc::new(socket), seed));
-    tokio::spawn(self.carry(front.listen, listener));
+    tokio::spawn(Arc::clone(&self).forward_datagrams(front.listen, Arc::new(socket), seed));
+    tokio::spawn(self.forward_streams(front.listen, listener));
     Ok(())
   }
 
-  async fn spray(self: Arc<Self>, listen: SocketAddr, front: Arc<UdpSocket>, seed: u64) {
+  async fn forward_datagrams(
+    self: Arc<Self>,
+    listen: SocketAddr,
+    front: Arc<UdpSocket>,
+    seed: u64,
+  ) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut lines: HashMap<SocketAddr, Arc<Line>> = HashMap::new();
+    let mut sessions: HashMap<SocketAddr, Arc<Session>> = HashMap::new();
     let mut buffer = vec![0; DATAGRAM_MAX];
     loop {
       let Ok((length, caller)) = front.recv_from(&mut buffer).await else {
         continue;
       };
-      let line = if let Some(line) = lines.get(&caller) {
-        Arc::clone(line)
+      let session = if let Some(session) = sessions.get(&caller) {
+        Arc::clone(session)
       } else {
         let local = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-        let Ok(session) = UdpSocket::bind(local).await else {
+        let Ok(socket) = UdpSocket::bind(local).await else {
           continue;
         };
-        let line = Arc::new(Line {
+        let session = Arc::new(Session {
           caller,
           fabric: Arc::clone(&self),
           front: Arc::clone(&front),
           listen,
-          session: Arc::new(session),
+          socket: Arc::new(socket),
         });
-        tokio::spawn(Arc::clone(&line).back(rng.random()));
-        lines.insert(caller, Arc::clone(&line));
-        line
+        tokio::spawn(Arc::clone(&session).return_datagrams(rng.random()));
+        sessions.insert(caller, Arc::clone(&session));
+        session
       };
-      line.forth(&buffer[..length], &mut rng).await;
+      session.forward(&buffer[..length], &mut rng).await;
     }
   }
 
-  async fn carry(self: Arc<Self>, listen: SocketAddr, listener: TcpListener) {
+  async fn forward_streams(self: Arc<Self>, listen: SocketAddr, listener: TcpListener) {
     while let Ok((mut inward, caller)) = listener.accept().await {
       let fabric = Arc::clone(&self);
       tokio::spawn(async move {
@@ -137,8 +147,8 @@
         };
         let ends = [caller.ip(), listen.ip(), back.ip()];
         let cut = async {
-          while !fabric.cuts(&ends) {
-            tokio::time::sleep(STEP).await;
+          while !fabric.is_cut(&ends) {
+            tokio::time::sleep(POLL_INTERVAL).await;
           }
         };
         let both = async {
@@ -148,8 +158,8 @@
           let (read_in, write_in) = inward.split();
           let (read_out, write_out) = outward.split();
           tokio::select! {
-            () = fabric.copy(read_in, write_out, &ends) => {}
-            () = fabric.copy(read_out, write_in, &ends) => {}
+            () = fabric.copy_stream(read_in, write_out, &ends) => {}
+            () = fabric.copy_stream(read_out, write_in, &ends) => {}
           }
           Some(())
         };
@@ -162,12 +172,12 @@
     }
   }
 
-  /// Carries one direction of a connection until it ends or is cut: nothing that arrives after
-  /// the cut gets through.
-  async fn copy(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, ends: &[IpAddr; 3]) {
+  /// Forwards one direction of a connection until it ends or is cut. Data that arrives after the
+  /// cut is not forwarded.
+  async fn copy_stream(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, ends: &[IpAddr; 3]) {
     let mut buffer = vec![0; DATAGRAM_MAX];
     while let Ok(length) = from.read(&mut buffer).await {
-      if length == 0 || self.cuts(ends) || to.write_all(&buffer[..length]).await.is_err() {
+      if length == 0 || self.is_cut(ends) || to.write_all(&buffer[..length]).await.is_err() {
         return;
       }
       self
@@ -176,8 +186,8 @@
     }
   }
 
-  /// Whether who calls, or the front that it calls, is cut off from the back.
-  fn cuts(&self, [caller, listen, back]: &[IpAddr; 3]) -> bool {
+  /// Whether the caller, or the front that it is connected to, is cut off from the back.
+  fn is_cut(&self, [caller, listen, back]: &[IpAddr; 3]) -> bool {
     let plan = lock(&self.plan);
     plan.is_cut(*caller, *back) || plan.is_cut(*listen, *back)
   }
@@ -188,7 +198,7 @@
     self.datagram_bytes.fetch_add(bytes, Ordering::Relaxed);
   }
 
-  async fn control(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+  async fn handle_control(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     let Ok(body) = request.into_body().collect().await else {
@@ -223,9 +233,9 @@
   }
 }
 
-impl Line {
-  /// Carries a sender's datagram to a random back.
-  async fn forth(&self, datagram: &[u8], rng: &mut SmallRng) {
+impl Session {
+  /// Forwards a datagram of the sender to a random back.
+  async fn forward(&self, datagram: &[u8], rng: &mut SmallRng) {
     let back = {
       let fronts = lock(&self.fabric.fronts);
       let backs = fronts.get(&self.listen).map_or(&[][..], Vec::as_slice);
@@ -235,35 +245,40 @@
       backs[rng.random_range(0..backs.len())]
     };
     self.fabric.count(datagram);
-    let copies = self.copies(back, rng);
-    deliver(&self.session, back, datagram, copies).await;
+    let copy_delays = self.copy_delays(back, rng);
+    send_copies(&self.socket, back, datagram, copy_delays).await;
   }
 
-  /// Carries the answers of all backs to the sender.
-  async fn back(self: Arc<Self>, seed: u64) {
+  /// Forwards the datagrams from all backs to the sender.
+  async fn return_datagrams(self: Arc<Self>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut buffer = vec![0; DATAGRAM_MAX];
     loop {
-      let Ok((length, back)) = self.session.recv_from(&mut buffer).await else {
+      let Ok((length, back)) = self.socket.recv_from(&mut buffer).await else {
         continue;
       };
       self.fabric.count(&buffer[..length]);
-      let copies = self.copies(back, &mut rng);
-      deliver(&self.front, self.caller, &buffer[..length], copies).await;
+      let copy_delays = self.copy_delays(back, &mut rng);
+      send_copies(&self.front, self.caller, &buffer[..length], copy_delays).await;
     }
   }
 
-  fn copies(&self, back: SocketAddr, rng: &mut SmallRng) -> Vec<Duration> {
+  fn copy_delays(&self, back: SocketAddr, rng: &mut SmallRng) -> Vec<Duration> {
     let plan = lock(&self.fabric.plan);
     if plan.is_cut(self.caller.ip(), back.ip()) {
       return Vec::new();
     }
-    plan.copies(rng)
+    plan.copy_delays(rng)
   }
 }
 
-async fn deliver(socket: &Arc<UdpSocket>, to: SocketAddr, datagram: &[u8], copies: Vec<Duration>) {
-  for delay in copies {
+async fn send_copies(
+  socket: &Arc<UdpSocket>,
+  to: SocketAddr,
+  datagram: &[u8],
+  copy_delays: Vec<Duration>,
+) {
+  for delay in copy_delays {
     if delay.is_zero() {
       let _ = socket.send_to(datagram, to).await;
       continue;
--- a/src/standin/fault.rs
+++ b/src/standin/fault.rs
@@ -4,40 +4,41 @@
   std::{net::IpAddr, time::Duration},
 };
 
-/// The faults that a fabric injects.
+/// The faults that a fabric injects into the traffic it forwards.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
-  /// Pairs of IP numbers that do not reach each other.
+  /// Pairs of IP addresses that cannot reach each other.
   pub cuts: Vec<(IpAddr, IpAddr)>,
-  /// The longest extra delay of a packet, in milliseconds; delays differ, so packets overtake.
+  /// The largest additional delay of a packet, in milliseconds. Delays are random, so packets may be
+  /// reordered.
   pub delay_ms: u64,
-  /// The share of packets that arrive twice.
+  /// The fraction of packets that are duplicated.
   pub duplicate: f64,
-  /// The share of packets that are lost.
+  /// The fraction of packets that are lost.
   pub loss: f64,
 }
 
 impl Plan {
-  /// The delays of the copies of a packet that arrive.
-  pub fn copies(&self, rng: &mut SmallRng) -> Vec<Duration> {
-    let mut copies = Vec::with_capacity(2);
+  /// The delay of each copy of a packet that is delivered: none if it is lost, two if duplicated.
+  pub fn copy_delays(&self, rng: &mut SmallRng) -> Vec<Duration> {
+    let mut copy_delays = Vec::with_capacity(2);
     if rng.random_bool(self.loss.clamp(0.0, 1.0)) {
-      return copies;
+      return copy_delays;
     }
-    copies.push(self.delay(rng));
+    copy_delays.push(self.random_delay(rng));
     if rng.random_bool(self.duplicate.clamp(0.0, 1.0)) {
-      copies.push(self.delay(rng));
+      copy_delays.push(self.random_delay(rng));
     }
-    copies
+    copy_delays
   }
 
-  /// Whether two IP numbers are cut off from each other.
+  /// Whether two IP addresses are cut off from each other.
   pub fn is_cut(&self, a: IpAddr, b: IpAddr) -> bool {
     self.cuts.contains(&(a, b)) || self.cuts.contains(&(b, a))
   }
 
-  fn delay(&self, rng: &mut SmallRng) -> Duration {
+  fn random_delay(&self, rng: &mut SmallRng) -> Duration {
     if self.delay_ms == 0 {
       return Duration::ZERO;
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -18,20 +18,20 @@
   },
 };
 
-/// How often a waiting watch looks for a change.
-const STEP: Duration = Duration::from_millis(10);
+/// How often a waiting watch checks for a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How many bytes of documents go into one answer.
-const ANSWER_BYTES: usize = 256 << 10;
+/// A response contains no further document once its documents have reached this size, in bytes.
+const RESPONSE_BYTES: usize = 256 << 10;
 
-/// A configuration service in memory: an operator puts documents, readers watch them. It can be
-/// taken down, and it can answer with an old copy.
+/// An in-memory configuration service: operators put documents, and processes watch them. It can be
+/// made unavailable, and it can be made to answer from an old snapshot.
 #[derive(Debug, Default)]
 pub struct Platform {
   state: Mutex<State>,
 }
 
-/// Texts and the revisions that they were put at; none where they were deleted.
+/// For each key the revision of its last change and the document's text; none if it was deleted.
 type Documents = BTreeMap<String, (Revision, Option<String>)>;
 
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
 }
 
 impl Platform {
-  /// Serves until the task is dropped.
+  /// Serves the platform's API until the future is dropped.
   pub async fn run(address: SocketAddr) -> Result<(), Fault> {
     let platform = Arc::new(Self::default());
     web::serve(address, move |request: Request<Incoming>| {
@@ -74,12 +74,12 @@
     let text = String::from_utf8_lossy(&body.to_bytes()).into_owned();
     match path.strip_prefix("/v1/documents/") {
       Some(key) => self.put(key, (!deletes).then_some(text)),
-      None if path == "/v1/condition" => self.condition(&text),
+      None if path == "/v1/condition" => self.set_condition(&text),
       None => web::answer(StatusCode::NOT_FOUND, ""),
     }
   }
 
-  /// An operator's change.
+  /// Stores a document, or deletes it if there is no text, and responds with the new revision.
   fn put(&self, key: &str, text: Option<String>) -> Response<Full<Bytes>> {
     let mut state = self.lock();
     state.revision.0 += 1;
@@ -88,8 +88,9 @@
     web::answer(StatusCode::OK, json!({ "revision": revision }).to_string())
   }
 
-  /// `up`, `down`, or `stale`: from now on it answers with today's copy.
-  fn condition(&self, text: &str) -> Response<Full<Bytes>> {
+  /// Sets the condition of the service: `up`, `down` (unavailable), or `stale` (watches are answered
+  /// from a snapshot taken now).
+  fn set_condition(&self, text: &str) -> Response<Full<Bytes>> {
     let mut state = self.lock();
     match text {
       "down" => state.down = true,
@@ -110,7 +111,7 @@
         .unwrap_or(0)
     };
     let after = Revision(number("after"));
-    let end = Instant::now() + Duration::from_millis(number("wait_ms"));
+    let deadline = Instant::now() + Duration::from_millis(number("wait_ms"));
     let keys = web::parameter(query, "keys").map(|keys| keys.split(',').collect::<Vec<_>>());
     self.lock().reads += 1;
     loop {
@@ -118,11 +119,11 @@
         return web::answer(StatusCode::SERVICE_UNAVAILABLE, "");
       }
       let changes = self.lock().changes(after, keys.as_deref());
-      if !changes.changes.is_empty() || Instant::now() >= end {
+      if !changes.changes.is_empty() || Instant::now() >= deadline {
         let text = serde_json::to_string(&changes).unwrap_or_default();
         return web::answer(StatusCode::OK, text);
       }
-      tokio::time::sleep(STEP).await;
+      tokio::time::sleep(POLL_INTERVAL).await;
     }
   }
 
@@ -150,18 +151,18 @@
       .collect::<Vec<_>>();
     changes.sort_by_key(|change| change.revision);
     let mut bytes = 0;
-    let kept = changes
+    let included = changes
       .iter()
       .take_while(|change| {
         let before = bytes;
         bytes += change.text.as_ref().map_or(0, String::len);
-        before < ANSWER_BYTES
+        before < RESPONSE_BYTES
       })
       .count();
-    if kept == changes.len() {
+    if included == changes.len() {
       return Changes { changes, revision };
     }
-    changes.truncate(kept);
+    changes.truncate(included);
     let revision = changes.last().map_or(revision, |change| change.revision);
     Changes { changes, revision }
   }
--- a/src/standin/relay.rs
+++ b/src/standin/relay.rs
@@ -9,13 +9,13 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// A bare relay of datagrams: what a balancer is measured against. It reads nothing of a packet
-/// and adds nothing to it.
+/// A relay that forwards datagrams unchanged without parsing them: the baseline for benchmarks of a
+/// balancer.
 #[derive(Debug)]
 pub struct Relay;
 
 impl Relay {
-  /// Carries datagrams from one address to another until the process ends.
+  /// Forwards the datagrams received at `listen` to `to` until the process ends.
   pub fn run(listen: SocketAddr, to: SocketAddr) -> Result<(), Fault> {
     let failed = |error| Fault::new(Code::ChildFailed, error);
     let socket = Socket::bind(listen, false)?;
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -20,24 +20,29 @@
 type Feed = Pin<Box<dyn futures::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send>>;
 type Body = Either<Full<Bytes>, StreamBody<Feed>>;
 
-/// An upstream over HTTP/1.1 that keeps a journal in memory of what it ran.
+/// An HTTP/1.1 upstream with an in-memory journal, which counts the requests for each idempotency
+/// key.
 ///
-/// `GET /feed?interval_ms=N` never ends; `GET /bytes?n=N` answers with N bytes; `GET /journal`
-/// shows the journal; `POST` with an `Idempotency-Key` runs once for each time that it arrives,
-/// for `work_ms` of the query, and with `held=1` until somebody asks for `GET /release`; any other
-/// `POST` answers with the length of its body.
+/// - `GET /bytes?n=N` responds with N bytes.
+/// - `GET /feed?interval_ms=N` responds with a line every N milliseconds, without end.
+/// - `GET /journal` responds with the journal.
+/// - `GET /release` ends the delay of all requests with `held=1`.
+/// - `POST` with an `Idempotency-Key` is counted in the journal, each time that it arrives.
+/// - Any `POST` responds with the key, the length of the body and the name of the upstream; with
+///   `held=1` not before `GET /release`.
+/// - The query parameter `work_ms` delays a response by that time, multiplied by the slowness.
 #[derive(Debug)]
 pub struct Upstream {
   journal: Mutex<BTreeMap<String, u64>>,
   name: String,
-  /// Whether requests that are held go on.
+  /// Whether requests with `held=1` may be answered.
   released: watch::Sender<bool>,
-  /// How many times as long as asked it works.
+  /// The factor by which `work_ms` is multiplied.
   slowness: u32,
 }
 
 impl Upstream {
-  /// Serves until the task is dropped.
+  /// Serves requests until the future is dropped.
   pub async fn run(address: SocketAddr, name: String, slowness: u32) -> Result<(), Fault> {
     let upstream = Arc::new(Self {
       journal: Mutex::default(),
@@ -55,23 +60,23 @@
   async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().map(str::to_owned);
-    let number = |name, otherwise| {
+    let number = |name, default| {
       web::parameter(query.as_deref(), name)
         .and_then(|value| value.parse::<u64>().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
     };
     let work = Duration::from_millis(number("work_ms", 0)) * self.slowness;
     if request.method() == Method::GET {
       tokio::time::sleep(work).await;
       return match path.as_str() {
-        "/bytes" => whole(vec![b'x'; number("n", 0) as usize]),
+        "/bytes" => full_response(vec![b'x'; number("n", 0) as usize]),
         "/feed" => self.feed(Duration::from_millis(number("interval_ms", 100))),
         "/release" => {
           self.released.send_replace(true);
-          whole("true")
+          full_response("true")
         }
-        "/journal" => whole(json!(*self.lock()).to_string()),
-        _ => whole(format!("{} {path}", self.name)),
+        "/journal" => full_response(json!(*self.lock()).to_string()),
+        _ => full_response(format!("{} {path}", self.name)),
       };
     }
     let key = request.headers().get("idempotency-key");
@@ -85,19 +90,19 @@
     }
     tokio::time::sleep(work).await;
     if number("held", 0) == 1 {
-      // It ends with the upstream, which holds the sender.
+      // This fails only when the upstream is dropped, which owns the sender.
       let _ = self
         .released
         .subscribe()
         .wait_for(|released| *released)
         .await;
     }
-    whole(json!({ "key": key, "length": length, "name": self.name }).to_string())
+    full_response(json!({ "key": key, "length": length, "name": self.name }).to_string())
   }
 
   fn feed(&self, interval: Duration) -> Response<Body> {
     let name = self.name.clone();
-    let beats = stream::unfold(0u64, move |count| {
+    let lines = stream::unfold(0u64, move |count| {
       let line = format!("{name} {count}\n");
       async move {
         if count > 0 {
@@ -106,7 +111,7 @@
         Some((Ok(Frame::data(Bytes::from(line))), count + 1))
       }
     });
-    Response::new(Either::Right(StreamBody::new(beats.boxed())))
+    Response::new(Either::Right(StreamBody::new(lines.boxed())))
   }
 
   fn lock(&self) -> MutexGuard<'_, BTreeMap<String, u64>> {
@@ -114,6 +119,6 @@
   }
 }
 
-fn whole(body: impl Into<Bytes>) -> Response<Body> {
+fn full_response(body: impl Into<Bytes>) -> Response<Body> {
   web::answer(StatusCode::OK, body).map(Either::Left)
 }
