--- a/benches/balance.rs
+++ b/benches/balance.rs
@@ -1,5 +1,5 @@
-//! How evenly weighted work lands on targets, what gets through and how long it takes, at shares
-//! of the capacity: with hand-off of single requests, and with two choices by flows alone.
+//! Balance of weighted work between targets, throughput and latency at several fractions of the
+//! capacity. Compares hand-off of single requests with balancing flows only (two random choices).
 
 #[path = "../tests/support/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -20,32 +20,35 @@
   support::fleet::Fleet,
 };
 
-/// How long a request runs at its upstream.
+/// How long an upstream works on a request.
 const WORK: Duration = Duration::from_millis(200);
-const ROUND: Duration = Duration::from_secs(8);
+/// How long requests are sent at each fraction of the capacity.
+const ROUND_DURATION: Duration = Duration::from_secs(8);
 const FLOWS: usize = 40;
 
-/// Every third request is a confirmation, which counts double.
-const CONFIRMATIONS: u64 = 3;
+/// One request in this many is a confirmation, which has twice the weight of the others.
+const CONFIRMATION_EVERY: u64 = 3;
 
 #[derive(Default)]
-struct Totals {
+struct Outcomes {
   answered: AtomicU64,
   other: AtomicU64,
   refused: AtomicU64,
   sent: AtomicU64,
 }
 
-async fn work(fleet: &Fleet, targets: u32) -> Vec<f64> {
-  let mut work = Vec::new();
+/// The weighted work that each target has done since its start.
+async fn work_done(fleet: &Fleet, targets: u32) -> Vec<f64> {
+  let mut all = Vec::new();
   for target in 1..=targets {
     let state = fleet.agent_state(1, target).await;
-    work.push(state["path"]["work"].as_f64().expect("work"));
+    all.push(state["path"]["work"].as_f64().expect("work"));
   }
-  work
+  all
 }
 
-async fn retried(fleet: &Fleet, targets: u32) -> u64 {
+/// The number of requests that agents have retried at another target.
+async fn retry_count(fleet: &Fleet, targets: u32) -> u64 {
   let mut all = 0;
   for target in 1..=targets {
     let state = fleet.agent_state(1, target).await;
@@ -54,27 +57,27 @@
   all
 }
 
-/// Sends requests at random times at a rate, over flows of uneven rates.
-async fn load(callers: &[Caller], rate: f64) -> (Arc<Totals>, Histogram<u64>) {
-  let totals = Arc::new(Totals::default());
-  let times = Arc::new(Mutex::new(Histogram::new(3).expect("histogram")));
+/// Sends requests as a Poisson process with `rate` requests per second, over unevenly busy flows.
+async fn send_load(callers: &[Caller], rate: f64) -> (Arc<Outcomes>, Histogram<u64>) {
+  let outcomes = Arc::new(Outcomes::default());
+  let latencies_ms = Arc::new(Mutex::new(Histogram::new(3).expect("histogram")));
   let mut rng = SmallRng::seed_from_u64(1);
-  let begun = Instant::now();
+  let started = Instant::now();
   let mut at = Duration::ZERO;
   let mut tasks = Vec::new();
-  while at < ROUND {
+  while at < ROUND_DURATION {
     at += Duration::from_secs_f64(-(1.0 - rng.random_range(0.0..1.0_f64)).ln() / rate);
-    tokio::time::sleep_until((begun + at).into()).await;
-    // The lower of two makes some flows many times as busy as others.
-    let most = rng.random_range(0..callers.len());
-    let caller = callers[rng.random_range(0..=most)].clone();
-    let (totals, times) = (Arc::clone(&totals), Arc::clone(&times));
-    let number = totals.sent.fetch_add(1, Ordering::Relaxed);
+    tokio::time::sleep_until((started + at).into()).await;
+    // Two nested random choices make some flows much busier than others.
+    let upper = rng.random_range(0..callers.len());
+    let caller = callers[rng.random_range(0..=upper)].clone();
+    let (outcomes, latencies_ms) = (Arc::clone(&outcomes), Arc::clone(&latencies_ms));
+    let number = outcomes.sent.fetch_add(1, Ordering::Relaxed);
     let key = format!("{}-{number}", rand::random::<u64>());
     tasks.push(tokio::spawn(async move {
       let path = format!("?work_ms={}", WORK.as_millis());
-      let begun = Instant::now();
-      let answer = if number % CONFIRMATIONS == 0 {
+      let started = Instant::now();
+      let answer = if number % CONFIRMATION_EVERY == 0 {
         let headers = [("idempotency-key", key.as_str()), ("fallwell-attempt", "1")];
         let path = format!("/confirm{path}");
         caller
@@ -85,27 +88,31 @@
           .request(Method::GET, &format!("/item{path}"), &[], "")
           .await
       };
-      let took = begun.elapsed().as_millis() as u64;
+      let elapsed_ms = started.elapsed().as_millis() as u64;
       match answer.map(|answer| answer.status.as_u16()) {
         Ok(200) => {
-          totals.answered.fetch_add(1, Ordering::Relaxed);
-          times.lock().expect("times").record(took).expect("time");
+          outcomes.answered.fetch_add(1, Ordering::Relaxed);
+          latencies_ms
+            .lock()
+            .expect("latencies")
+            .record(elapsed_ms)
+            .expect("time");
         }
         Ok(503) => {
-          totals.refused.fetch_add(1, Ordering::Relaxed);
+          outcomes.refused.fetch_add(1, Ordering::Relaxed);
         }
         _ => {
-          totals.other.fetch_add(1, Ordering::Relaxed);
+          outcomes.other.fetch_add(1, Ordering::Relaxed);
         }
       }
     }));
   }
   futures::future::join_all(tasks).await;
-  let times = times.lock().expect("times").clone();
-  (totals, times)
+  let latencies_ms = latencies_ms.lock().expect("latencies").clone();
+  (outcomes, latencies_ms)
 }
 
-async fn measure(name: &str, fleet: Fleet, targets: u32, slots: u32, shares: &[f64]) {
+async fn measure(name: &str, fleet: Fleet, targets: u32, slots: u32, fractions: &[f64]) {
   let fleet = fleet
     .service(1, targets)
     .slots(slots)
@@ -117,34 +124,34 @@
     callers.push(fleet.caller(1).await);
   }
   let capacity = f64::from(targets * slots) / WORK.as_secs_f64();
-  for share in shares {
-    let before = work(&fleet, targets).await;
-    let retries = retried(&fleet, targets).await;
-    let begun = Instant::now();
-    let (totals, times) = load(&callers, capacity * share).await;
-    let seconds = begun.elapsed().as_secs_f64();
-    let after = work(&fleet, targets).await;
-    let retries = retried(&fleet, targets).await - retries;
+  for fraction in fractions {
+    let before = work_done(&fleet, targets).await;
+    let retries = retry_count(&fleet, targets).await;
+    let started = Instant::now();
+    let (outcomes, latencies_ms) = send_load(&callers, capacity * fraction).await;
+    let seconds = started.elapsed().as_secs_f64();
+    let after = work_done(&fleet, targets).await;
+    let retries = retry_count(&fleet, targets).await - retries;
     let done = after
       .iter()
       .zip(&before)
       .map(|(after, before)| after - before);
     let done = done.collect::<Vec<_>>();
     let mean = done.iter().sum::<f64>() / done.len() as f64;
-    let spread = done.iter().map(|work| (work - mean).powi(2)).sum::<f64>() / done.len() as f64;
+    let variance = done.iter().map(|work| (work - mean).powi(2)).sum::<f64>() / done.len() as f64;
     let of = |count: &AtomicU64| count.load(Ordering::Relaxed) as f64;
     println!(
-      "{name:>22} {targets}x{slots} | {share:.1} | {:.2} {:.2} | {:>6.1} {:>5.1}% {:>4} | {:>5} {:>5} \
+      "{name:>22} {targets}x{slots} | {fraction:.1} | {:.2} {:.2} | {:>6.1} {:>5.1}% {:>4} | {:>5} {:>5} \
        {:>5} | {:.3}",
       done.iter().copied().fold(0.0, f64::max) / mean,
-      spread.sqrt() / mean,
-      of(&totals.answered) / seconds,
-      100.0 * of(&totals.refused) / of(&totals.sent),
-      of(&totals.other),
-      times.value_at_quantile(0.5),
-      times.value_at_quantile(0.99),
-      times.value_at_quantile(0.999),
-      retries as f64 / of(&totals.sent),
+      variance.sqrt() / mean,
+      of(&outcomes.answered) / seconds,
+      100.0 * of(&outcomes.refused) / of(&outcomes.sent),
+      of(&outcomes.other),
+      latencies_ms.value_at_quantile(0.5),
+      latencies_ms.value_at_quantile(0.99),
+      latencies_ms.value_at_quantile(0.999),
+      retries as f64 / of(&outcomes.sent),
     );
   }
 }
@@ -156,9 +163,16 @@
      retries a try",
     "policy"
   );
-  let shares = [0.5, 0.9, 1.2, 2.0];
-  measure("hand-off", Fleet::new(), 7, 5, &shares).await;
-  measure("flows alone", Fleet::new().without_routes(), 7, 5, &shares).await;
+  let fractions = [0.5, 0.9, 1.2, 2.0];
+  measure("hand-off", Fleet::new(), 7, 5, &fractions).await;
+  measure(
+    "flows alone",
+    Fleet::new().without_routes(),
+    7,
+    5,
+    &fractions,
+  )
+  .await;
   measure("hand-off", Fleet::new(), 4, 5, &[0.9]).await;
   measure("flows alone", Fleet::new().without_routes(), 4, 5, &[0.9]).await;
   measure("hand-off", Fleet::new(), 3, 7, &[0.9]).await;
--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -1,6 +1,6 @@
-//! Real balancers that hold the configuration of the size to design for: memory, processor time,
-//! control bytes, time to join, and time from publishing to in force, healthy and with the
-//! platform out of reach of half of them.
+//! Balancers with a configuration of up to the size that the system is designed for: memory,
+//! processor time, control traffic, the time to join, and the time until a published change is in
+//! force, both normally and while half of the balancers cannot reach the platform.
 
 #[path = "../tests/support/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -14,12 +14,13 @@
 };
 
 const BALANCERS: u8 = 4;
-const QUIET: Duration = Duration::from_secs(10);
+/// How long processor time and traffic are measured while nothing changes.
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// The size in shares of the one to design for.
-const SHARES: [(u16, usize); 3] = [(132, 910), (265, 1820), (530, 3640)];
+/// Numbers of services and instances: a quarter, half, and all of the size to design for.
+const SIZES: [(u16, usize); 3] = [(132, 910), (265, 1820), (530, 3640)];
 
-async fn put(fleet: &Fleet, record: Record) {
+async fn publish_record(fleet: &Fleet, record: Record) {
   let text = record.text.unwrap_or_default();
   fleet.put(&record.key.to_string(), &text).await;
 }
@@ -32,81 +33,81 @@
   control.filter_map(|(_, count)| count.as_u64()).sum()
 }
 
-async fn in_force(fleet: &mut Fleet) -> Duration {
-  let begun = Instant::now();
+async fn time_to_in_force(fleet: &mut Fleet) -> Duration {
+  let started = Instant::now();
   let revision = fleet.publish(1).await;
   let all = (1..=BALANCERS).collect::<Vec<_>>();
   fleet.wait_in_force(&all, 1, revision).await;
-  begun.elapsed()
+  started.elapsed()
 }
 
 #[tokio::main]
 async fn main() {
-  for (services, instances) in SHARES {
+  for (services, instances) in SIZES {
     let fleet = Fleet::new().balancers(BALANCERS).service(1, 6);
     let mut fleet = fleet.without_agents().relayed().start().await;
     for id in 2..=services {
-      put(&fleet, support::mesh::service(id, 6, 1)).await;
+      publish_record(&fleet, support::mesh::service(id, 6, 1)).await;
     }
     for index in 5000..5000 + instances {
-      // Listed as agents: nobody calls them.
+      // Registered as agents, so that the balancers do not connect to them.
       let mut record = support::mesh::instance(index, 1);
       record.text = record.text.map(|text| text.replace("balancer", "agent"));
-      put(&fleet, record).await;
+      publish_record(&fleet, record).await;
     }
-    in_force(&mut fleet).await;
+    time_to_in_force(&mut fleet).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let used = fleet.balancer(1).cpu_time();
+    let processor_time = fleet.balancer(1).processor_time();
     let bytes = control_bytes(&fleet.balancer_state(1).await);
-    let carried = fleet.fabric_counters().await["stream_bytes"]
+    let stream_bytes = fleet.fabric_figures().await["stream_bytes"]
       .as_u64()
       .expect("bytes");
-    tokio::time::sleep(QUIET).await;
-    let carried = fleet.fabric_counters().await["stream_bytes"]
+    tokio::time::sleep(MEASURED_TIME).await;
+    let stream_bytes = fleet.fabric_figures().await["stream_bytes"]
       .as_u64()
       .expect("bytes")
-      - carried;
-    // Each byte on the way is one that leaves a node and one that enters another.
-    let carried = carried * 2 / QUIET.as_secs() / u64::from(BALANCERS);
-    let used = fleet
+      - stream_bytes;
+    // Each byte is sent by one balancer and received by another.
+    let stream_bytes = stream_bytes * 2 / MEASURED_TIME.as_secs() / u64::from(BALANCERS);
+    let processor_time = fleet
       .balancer(1)
-      .cpu_time()
-      .saturating_sub(used)
+      .processor_time()
+      .saturating_sub(processor_time)
       .as_secs_f64()
-      / QUIET.as_secs_f64();
-    let bytes = (control_bytes(&fleet.balancer_state(1).await) - bytes) / QUIET.as_secs();
-    let memory = fleet.balancer(1).resident_bytes() as f64 / 1e6;
+      / MEASURED_TIME.as_secs_f64();
+    let bytes = (control_bytes(&fleet.balancer_state(1).await) - bytes) / MEASURED_TIME.as_secs();
+    let memory = fleet.balancer(1).memory() as f64 / 1e6;
     println!(
-      "{services} services, {instances} instances: {memory:.1} MB, {:.2}% of a core, {bytes} control bytes/s by the codec, {carried} \
+      "{services} services, {instances} instances: {memory:.1} MB, {:.2}% of a core, {bytes} control bytes/s by the codec, {stream_bytes} \
        in and out as carried",
-      used * 100.0
+      processor_time * 100.0
     );
     let mut healthy = Vec::new();
     for _ in 0..10 {
-      healthy.push(in_force(&mut fleet).await.as_millis());
+      healthy.push(time_to_in_force(&mut fleet).await.as_millis());
     }
     let cuts = vec![fleet.cut_from_platform(1), fleet.cut_from_platform(2)];
     fleet
-      .inject_faults(&Plan {
+      .plan(&Plan {
         cuts,
         ..Plan::default()
       })
       .await;
-    let mut half = Vec::new();
+    let mut partitioned = Vec::new();
     for _ in 0..10 {
-      half.push(in_force(&mut fleet).await.as_millis());
+      partitioned.push(time_to_in_force(&mut fleet).await.as_millis());
     }
-    fleet.inject_faults(&Plan::default()).await;
+    fleet.plan(&Plan::default()).await;
     println!(
-      "  publishing to in force on {BALANCERS}, ms: healthy {healthy:?}; platform out of reach of half {half:?}"
+      "  publishing to in force on {BALANCERS}, ms: healthy {healthy:?}; platform out of reach of half {partitioned:?}"
     );
     fleet.balancer(1).kill();
-    let begun = Instant::now();
+    let started = Instant::now();
     fleet.start_balancer(1);
     fleet.wait_ready(fleet.balancer_api(1)).await;
     println!(
       "  a balancer joined within {} ms",
-      begun.elapsed().as_millis()
+      started.elapsed().as_millis()
     );
   }
 }
--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -1,5 +1,5 @@
-//! Packets a second and processor time a packet of one balancer with one worker, against a bare
-//! relay in the same run.
+//! Packets per second and processor time per packet of a balancer with one worker, compared with a
+//! plain relay in the same execution.
 
 #[path = "../tests/support/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -23,17 +23,17 @@
   support::{child::Child, fleet::Fleet},
 };
 
-const ROUND: Duration = Duration::from_secs(3);
-const SIZE: usize = 1200;
+const ROUND_DURATION: Duration = Duration::from_secs(3);
+const PACKET_BYTES: usize = 1200;
 const SENDERS: usize = 2;
 
-struct Figures {
-  packets: f64,
-  processor: f64,
+struct Throughput {
+  packets_per_s: f64,
+  processor_us: f64,
 }
 
-/// Counts what arrives at an address.
-fn sink(address: SocketAddr, count: Arc<AtomicU64>, stop: Arc<AtomicBool>) {
+/// Counts the datagrams that arrive at an address.
+fn count_received(address: SocketAddr, count: Arc<AtomicU64>, stop: Arc<AtomicBool>) {
   let socket = Socket::bind(address, false).expect("sink");
   thread::spawn(move || {
     let mut batch = Batch::default();
@@ -48,6 +48,7 @@
   });
 }
 
+/// Packets with short headers of 64 flows, all owned by the same target.
 fn packets() -> Vec<Vec<u8>> {
   let tagger = Tagger::new(&config::Keyring {
     current: 1,
@@ -64,7 +65,7 @@
         random: [index; 5],
         target: id::Target(1),
       };
-      let mut packet = vec![0; SIZE];
+      let mut packet = vec![0; PACKET_BYTES];
       packet[0] = 0x40;
       packet[1..17].copy_from_slice(&cid.encode(id::Service(1), &tagger));
       packet
@@ -72,8 +73,9 @@
     .collect()
 }
 
-/// Loads an address as fast as it goes, and measures what arrives and what the carrier used.
-fn measure(carrier: &Child, to: SocketAddr, count: &Arc<AtomicU64>) -> Figures {
+/// Sends packets to an address without rate limit. Returns the rate at which they arrive at the
+/// target, and the processor time per packet of the forwarding process.
+fn measure(process: &Child, to: SocketAddr, count: &Arc<AtomicU64>) -> Throughput {
   let stop = Arc::new(AtomicBool::new(false));
   let mut senders = Vec::new();
   for _ in 0..SENDERS {
@@ -93,20 +95,20 @@
   thread::sleep(Duration::from_millis(500));
   let (before, used, begun) = (
     count.load(Ordering::Relaxed),
-    carrier.cpu_time(),
+    process.processor_time(),
     Instant::now(),
   );
-  thread::sleep(ROUND);
+  thread::sleep(ROUND_DURATION);
   let packets = (count.load(Ordering::Relaxed) - before) as f64;
-  let processor = carrier.cpu_time().saturating_sub(used).as_secs_f64();
+  let processor = process.processor_time().saturating_sub(used).as_secs_f64();
   let time = begun.elapsed().as_secs_f64();
   stop.store(true, Ordering::Relaxed);
   for sender in senders {
     let _ = sender.join();
   }
-  Figures {
-    packets: packets / time,
-    processor: processor * 1e6 / packets,
+  Throughput {
+    packets_per_s: packets / time,
+    processor_us: processor * 1e6 / packets,
   }
 }
 
@@ -116,10 +118,10 @@
   let mut fleet = fleet.start().await;
   let count = Arc::new(AtomicU64::new(0));
   let stop = Arc::new(AtomicBool::new(false));
-  let target = fleet.published_agent(1, 1, 7200);
-  sink(target, Arc::clone(&count), Arc::clone(&stop));
+  let target = fleet.listed_agent(1, 1, 7200);
+  count_received(target, Arc::clone(&count), Arc::clone(&stop));
   let listen = SocketAddr::new(target.ip(), 7999);
-  let relay = fleet.start_standin(&[
+  let relay = fleet.standin(&[
     "relay",
     "--listen",
     &listen.to_string(),
@@ -127,17 +129,17 @@
     &target.to_string(),
   ]);
   thread::sleep(Duration::from_millis(300));
-  let entry = fleet.balancer_service_address(1, 1);
-  println!("packets of {SIZE} bytes, {SENDERS} senders, one thread each:");
+  let entry = fleet.entry(1, 1);
+  println!("packets of {PACKET_BYTES} bytes, {SENDERS} senders, one thread each:");
   let mut ratios = Vec::new();
   for round in 1..=3 {
-    let bare = measure(&relay, listen, &count);
+    let relayed = measure(&relay, listen, &count);
     let balancer = measure(fleet.balancer(1), entry, &count);
-    let ratio = balancer.packets / bare.packets;
+    let ratio = balancer.packets_per_s / relayed.packets_per_s;
     println!(
       "  round {round}: relay {:>8.0} packets/s, {:.2} us each; balancer {:>8.0} packets/s, {:.2} us \
        each; ratio {ratio:.2}",
-      bare.packets, bare.processor, balancer.packets, balancer.processor
+      relayed.packets_per_s, relayed.processor_us, balancer.packets_per_s, balancer.processor_us
     );
     ratios.push(ratio);
   }
--- a/benches/round_trip.rs
+++ b/benches/round_trip.rs
@@ -1,5 +1,5 @@
-//! The time that the layer adds to a request: the same caller and upstream, with balancers and
-//! agent in between, and with a bare HTTP/3 server in their place.
+//! The latency that balancers and agents add to a request, compared with a plain HTTP/3 server
+//! between the same caller and upstream.
 
 #[path = "../tests/support/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -17,21 +17,23 @@
     sync::Arc,
     time::{Duration, Instant},
   },
-  support::fleet::{Fleet, SERVER_NAME},
+  support::fleet::{Fleet, NAME},
 };
 
 const REQUESTS: u32 = 4000;
 
-/// A bare HTTP/3 server that asks the upstream for each request.
-fn bare(upstream: SocketAddr) -> (SocketAddr, CertificateDer<'static>) {
-  let made = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
-  let key = PrivateKeyDer::try_from(made.signing_key.serialize_der()).expect("key");
+/// Starts a plain HTTP/3 server that forwards each request to the upstream, and returns its address
+/// and certificate.
+fn start_plain_server(upstream: SocketAddr) -> (SocketAddr, CertificateDer<'static>) {
+  let certificate_and_key =
+    rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
+  let key = PrivateKeyDer::try_from(certificate_and_key.signing_key.serialize_der()).expect("key");
   let provider = Arc::new(rustls::crypto::ring::default_provider());
   let mut tls = rustls::ServerConfig::builder_with_provider(provider)
     .with_protocol_versions(&[&rustls::version::TLS13])
     .expect("versions")
     .with_no_client_auth()
-    .with_single_cert(vec![made.cert.der().clone()], key)
+    .with_single_cert(vec![certificate_and_key.cert.der().clone()], key)
     .expect("certificate");
   tls.alpn_protocols = vec![b"h3".to_vec()];
   let crypto = QuicServerConfig::try_from(tls).expect("tls");
@@ -67,41 +69,41 @@
       });
     }
   });
-  (address, made.cert.der().clone())
+  (address, certificate_and_key.cert.der().clone())
 }
 
 async fn measure(caller: &Caller) -> Histogram<u64> {
-  let mut times = Histogram::new(3).expect("histogram");
+  let mut latencies_us = Histogram::new(3).expect("histogram");
   for _ in 0..REQUESTS {
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = caller.request(Method::GET, "/bytes?n=100", &[], "").await;
     assert_eq!(answer.expect("answer").body.len(), 100);
-    times
-      .record(begun.elapsed().as_micros() as u64)
+    latencies_us
+      .record(started.elapsed().as_micros() as u64)
       .expect("time");
   }
-  times
+  latencies_us
 }
 
 #[tokio::main]
 async fn main() {
   let fleet = Fleet::new().balancers(2).service(1, 1).start().await;
-  let (address, certificate) = bare(fleet.upstream_address(1, 1));
-  let direct = Caller::open(address, SERVER_NAME, &[certificate])
+  let (address, certificate) = start_plain_server(fleet.upstream_address(1, 1));
+  let direct = Caller::open(address, NAME, &[certificate])
     .await
     .expect("flow");
-  let through = fleet.caller(1).await;
+  let balanced = fleet.caller(1).await;
   println!(
     "{REQUESTS} requests one after another, microseconds (the fabric stand-in is in the way of the second only):"
   );
   for round in 1..=2 {
-    for (name, caller) in [("bare server", &direct), ("fallwell", &through)] {
-      let times = measure(caller).await;
+    for (name, caller) in [("bare server", &direct), ("fallwell", &balanced)] {
+      let latencies_us = measure(caller).await;
       println!(
         "  round {round}, {name:>11}: p50 {:>5}, p99 {:>5}, p999 {:>6}",
-        times.value_at_quantile(0.5),
-        times.value_at_quantile(0.99),
-        times.value_at_quantile(0.999)
+        latencies_us.value_at_quantile(0.5),
+        latencies_us.value_at_quantile(0.99),
+        latencies_us.value_at_quantile(0.999)
       );
     }
   }
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -1,4 +1,5 @@
-//! Nanoseconds of one routing decision, for packets that name their target and first packets.
+//! Time of one routing decision, for packets whose connection ID contains their target and for the
+//! first packets of flows.
 
 use {
   fallwell::{
@@ -53,18 +54,19 @@
   .expect("keyring")
 }
 
-fn nanoseconds(mut step: impl FnMut(u32)) -> f64 {
+/// The mean time of a call after a warm-up, in nanoseconds.
+fn mean_ns(mut step: impl FnMut(u32)) -> f64 {
   for round in 0..ROUNDS / 10 {
     step(round);
   }
-  let begun = Instant::now();
+  let started = Instant::now();
   for round in 0..ROUNDS {
     step(round);
   }
-  begun.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
+  started.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
 }
 
-fn named(services: u16, targets: u32) -> f64 {
+fn named_target_ns(services: u16, targets: u32) -> f64 {
   let tagger = tagger();
   let tables = (1..=services)
     .map(|service| (id::Service(service), table(service, targets)))
@@ -79,7 +81,7 @@
     (service, cid.encode(service, &tagger))
   });
   let cids = cids.collect::<Vec<_>>();
-  nanoseconds(|round| {
+  mean_ns(|round| {
     let (service, bytes) = &cids[round as usize % cids.len()];
     let cid = Cid::decode(bytes, *service, &tagger).expect("ours");
     let flow = Flow::Named {
@@ -90,9 +92,9 @@
   })
 }
 
-fn first(targets: u32) -> f64 {
+fn first_packet_ns(targets: u32) -> f64 {
   let table = table(1, targets);
-  nanoseconds(|round| {
+  mean_ns(|round| {
     let flow = Flow::Keyed {
       key: u64::from(round) << 32 | 0x9e37,
       opens: true,
@@ -104,14 +106,14 @@
 fn main() {
   println!("a packet that names its target (connection ID read and checked, target looked up):");
   for (targets, services) in [(7, 2), (70, 53), (6, 530), (3200, 2)] {
-    let time = named(services, targets);
+    let time = named_target_ns(services, targets);
     println!("  {services:>4} services of {targets:>4} targets: {time:>7.1} ns");
   }
   println!("a first packet (two candidates of a service, chain built):");
   for targets in [3, 7, 10, 70, 3200] {
     println!(
       "  service of {targets:>4} targets: {:>9.1} ns",
-      first(targets)
+      first_packet_ns(targets)
     );
   }
 }
--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,6 +1,6 @@
-//! How fast a change spreads and what control costs, against the number of balancers: the real
-//! machines over a link in memory, in one process. Bytes are the codec's; `full_size` measures
-//! what the transport adds.
+//! Propagation time of a change and the cost of control traffic by the number of balancers. All
+//! state machines run in one process, connected in memory. Bytes are those of the encoded messages;
+//! `full_size` also measures those of the transport.
 
 #[path = "../tests/support/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -19,13 +19,13 @@
 
 const CHANGES: u64 = 20;
 
-fn records(carriers: usize) -> Vec<Record> {
-  // Agents are on the list too: 3,200 of them before 440 balancers, in proportion.
-  let agents = carriers * 3200 / 440;
-  let services = (carriers * 530 / 440) as u16;
-  let listed = (0..carriers + agents).map(|index| instance(index, 1 + index as u64));
+fn records(replicas: usize) -> Vec<Record> {
+  // The number of agents is proportional to that of balancers: 3,200 for 440.
+  let agents = replicas * 3200 / 440;
+  let services = (replicas * 530 / 440) as u16;
+  let listed = (0..replicas + agents).map(|index| instance(index, 1 + index as u64));
   let mut records = listed.collect::<Vec<_>>();
-  for record in &mut records[carriers..] {
+  for record in &mut records[replicas..] {
     if let Some(text) = &mut record.text {
       *text = text.replace("balancer", "agent");
     }
@@ -34,12 +34,12 @@
   records
 }
 
-fn all_have(revision: u64, counts: fn(usize) -> bool) -> impl Fn(&[Machine]) -> bool {
+fn all_have(revision: u64, is_counted: fn(usize) -> bool) -> impl Fn(&[Machine]) -> bool {
   move |machines| {
     let counted = machines
       .iter()
       .enumerate()
-      .filter(|(index, _)| counts(*index));
+      .filter(|(index, _)| is_counted(*index));
     counted.map(|(_, machine)| machine).all(|machine| {
       machine.store().in_force(Key::Service(id::Service(1))) == Some(Revision(revision))
     })
@@ -50,47 +50,48 @@
   println!(
     "balancers | spread p50 ms | worst ms | worst, a fifth gone ms | worst, 20% lost ms | healed ms | quiet B/s a node | B a change a node | us a tick"
   );
-  for carriers in [55, 110, 220, 440] {
-    let records = records(carriers);
-    let mut mesh = Mesh::new(carriers, &records, 1);
+  for replicas in [55, 110, 220, 440] {
+    let records = records(replicas);
+    let mut mesh = Mesh::new(replicas, &records, 1);
     mesh.run(Duration::from_secs(3));
     mesh.bytes.clear();
-    let begun = Instant::now();
+    let started = Instant::now();
     mesh.run(Duration::from_secs(10));
-    let ticks = carriers as f64 * 10.0;
-    let tick = begun.elapsed().as_secs_f64() * 1e6 / ticks;
-    let quiet = total(&mesh) as f64 / ticks;
-    let (mut times, cost) = spread(&mut mesh, 200_000, quiet, |_| true);
+    let ticks = replicas as f64 * 10.0;
+    let tick = started.elapsed().as_secs_f64() * 1e6 / ticks;
+    let idle_bytes = total_bytes(&mesh) as f64 / ticks;
+    let (mut times, cost) = publish_changes(&mut mesh, 200_000, idle_bytes, |_| true);
     times.sort_unstable();
-    let healed = heal(&mut mesh, 250_000);
-    // A data centre is gone, and the list does not know yet.
-    mesh.is_cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
-    let (gone, _) = spread(&mut mesh, 300_000, quiet, |index| index % 5 != 0);
-    mesh.is_cut = Box::new(|_, _| false);
+    let healed = heal_partition(&mut mesh, 250_000);
+    // A data centre has failed, but its instances are still in the configuration.
+    mesh.cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
+    let (partitioned, _) = publish_changes(&mut mesh, 300_000, idle_bytes, |index| index % 5 != 0);
+    mesh.cut = Box::new(|_, _| false);
     mesh.run(Duration::from_secs(30));
-    mesh.loss_probability = 0.2;
-    let (lossy, _) = spread(&mut mesh, 400_000, quiet, |_| true);
+    mesh.loss = 0.2;
+    let (lossy, _) = publish_changes(&mut mesh, 400_000, idle_bytes, |_| true);
     println!(
-      "{carriers:>9} | {:>13} | {:>8} | {:>22} | {:>18} | {healed:>9} | {quiet:>16.0} | {cost:>17.0} | {tick:>9.1}",
+      "{replicas:>9} | {:>13} | {:>8} | {:>22} | {:>18} | {healed:>9} | {idle_bytes:>16.0} | {cost:>17.0} | {tick:>9.1}",
       times[times.len() / 2].as_millis(),
       times[times.len() - 1].as_millis(),
-      gone.iter().max().map_or(0, Duration::as_millis),
+      partitioned.iter().max().map_or(0, Duration::as_millis),
       lossy.iter().max().map_or(0, Duration::as_millis),
     );
   }
 }
 
-/// Two halves apart for a minute, each with ten changes of its own: how long until all agree.
-fn heal(mesh: &mut Mesh, first: u64) -> u128 {
-  let carriers = mesh.machines.len();
-  mesh.is_cut = Box::new(move |a, b| (a < carriers / 2) != (b < carriers / 2));
+/// Partitions the balancers into halves for a minute, publishes ten changes in each, and returns the
+/// time until all agree after the partition, in milliseconds.
+fn heal_partition(mesh: &mut Mesh, first: u64) -> u128 {
+  let replicas = mesh.machines.len();
+  mesh.cut = Box::new(move |a, b| (a < replicas / 2) != (b < replicas / 2));
   for change in 0..10_u64 {
     let id = 2 + change as u16;
     mesh.publish(0, service(id, 7, first + change));
-    mesh.publish(carriers - 1, service(id + 10, 7, first + 100 + change));
+    mesh.publish(replicas - 1, service(id + 10, 7, first + 100 + change));
     mesh.run(Duration::from_secs(6));
   }
-  mesh.is_cut = Box::new(|_, _| false);
+  mesh.cut = Box::new(|_, _| false);
   let agreed = mesh.run_until(Duration::from_mins(1), |machines| {
     let first = machines[0].store().digest();
     machines
@@ -102,31 +103,32 @@
     .as_millis()
 }
 
-fn total(mesh: &Mesh) -> u64 {
+fn total_bytes(mesh: &Mesh) -> u64 {
   mesh.bytes.values().sum()
 }
 
-/// Publishes changes one after another; the times that they took, and bytes a change a node.
-fn spread(
+/// Publishes changes one after another. Returns the time until each is in force at all counted
+/// balancers, and the bytes per change and balancer beyond those of idle traffic.
+fn publish_changes(
   mesh: &mut Mesh,
   first: u64,
-  quiet: f64,
-  counts: fn(usize) -> bool,
+  idle_bytes: f64,
+  is_counted: fn(usize) -> bool,
 ) -> (Vec<Duration>, f64) {
-  let carriers = mesh.machines.len();
+  let replicas = mesh.machines.len();
   mesh.bytes.clear();
   let mut times = Vec::new();
   for change in 0..CHANGES {
     let revision = first + change;
-    let at = change as usize * 7919 % carriers;
-    let at = if counts(at) { at } else { at + 1 };
+    let at = change as usize * 7919 % replicas;
+    let at = if is_counted(at) { at } else { at + 1 };
     mesh.publish(at, service(1, 6 + change as u32 % 3, revision));
-    let took = mesh.run_until(Duration::from_secs(30), all_have(revision, counts));
-    times.push(took.expect("a change spreads within 30 s"));
+    let elapsed = mesh.run_until(Duration::from_secs(30), all_have(revision, is_counted));
+    times.push(elapsed.expect("a change is in force within 30 s"));
     mesh.run(Duration::from_secs(1));
   }
   let passed: Duration = times.iter().sum::<Duration>() + Duration::from_secs(CHANGES);
-  let quiet = quiet * passed.as_secs_f64() * carriers as f64;
-  let cost = (total(mesh) as f64 - quiet) / CHANGES as f64 / carriers as f64;
+  let idle_bytes = idle_bytes * passed.as_secs_f64() * replicas as f64;
+  let cost = (total_bytes(mesh) as f64 - idle_bytes) / CHANGES as f64 / replicas as f64;
   (times, cost)
 }
