--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,5 +1,5 @@
-//! All roles in one process: a service of two targets behind two balancers, a caller with an open
-//! feed, and a balancer that dies while it goes on.
+//! Runs all roles in one process: two balancers in front of a service with two targets, and a
+//! caller. One balancer stops while the caller receives a streamed response, which continues.
 
 use {
   eyre::{Result, WrapErr, bail, eyre},
@@ -26,23 +26,23 @@
 };
 
 const NAME: &str = "dispatch.example";
-const CALL_MAX: Duration = Duration::from_secs(2);
-const READY_MAX: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn at(host: u8, port: u16) -> SocketAddr {
+fn address(host: u8, port: u16) -> SocketAddr {
   SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 77, 0, host)), port)
 }
 
 fn service() -> config::Service {
   let targets = [1, 2].map(|target| config::Target {
-    agent: at(20 + target, 7200),
+    agent: address(20 + target, 7200),
     connections: 2000,
     id: id::Target(target.into()),
     leaving: false,
     slots: 5,
   });
   config::Service {
-    address: at(100, 4433),
+    address: address(100, 4433),
     drain_s: 60,
     generation: 1,
     id: id::Service(1),
@@ -57,7 +57,7 @@
 async fn publish(key: &str, document: serde_json::Value) -> Result<()> {
   let path = format!("/v1/documents/{key}");
   let body = document.to_string();
-  web::request(at(1, 7000), Method::PUT, &path, body, CALL_MAX).await?;
+  web::request(address(1, 7000), Method::PUT, &path, body, REQUEST_TIMEOUT).await?;
   Ok(())
 }
 
@@ -66,12 +66,12 @@
   publish("keyring", json!({ "current": 1, "secrets": [secret] })).await?;
   for number in [1, 2] {
     let instance = config::Instance {
-      control: at(10 + number, 7100),
+      control: address(10 + number, 7100),
       data_centre: "ernakulam".into(),
       id: id::Instance(number.into()),
       presence: Presence::Live,
       role: Role::Balancer,
-      tunnel: at(10 + number, 7200),
+      tunnel: address(10 + number, 7200),
     };
     publish(&format!("instance/{number}"), json!(instance)).await?;
   }
@@ -80,14 +80,14 @@
 
 fn start_balancer(number: u8) -> Result<Tree> {
   let settings = settings::Balancer {
-    api: at(10 + number, 7300),
-    bind: Some(at(10 + number, 0).ip()),
-    control: at(10 + number, 7100),
+    api: address(10 + number, 7300),
+    bind: Some(address(10 + number, 0).ip()),
+    control: address(10 + number, 7100),
     data_centre: "ernakulam".into(),
     instance: id::Instance(number.into()),
-    peers: vec![at(11, 7100), at(12, 7100)],
-    platform: at(1, 7000),
-    tunnel: at(10 + number, 7200),
+    peers: vec![address(11, 7100), address(12, 7100)],
+    platform: address(1, 7000),
+    tunnel: address(10 + number, 7200),
     ..settings::Balancer::default()
   };
   let counter = Arc::new(Counter::default());
@@ -95,7 +95,7 @@
   balancer::start(&settings, &counter, &mut tree)?;
   println!(
     "balancer {number}: callers at {}, frames at {}",
-    at(10 + number, 4433),
+    address(10 + number, 4433),
     settings.tunnel
   );
   Ok(tree)
@@ -103,17 +103,17 @@
 
 fn start_agent(target: u8, directory: &std::path::Path) -> Result<Tree> {
   let settings = settings::Agent {
-    api: at(20 + target, 7300),
+    api: address(20 + target, 7300),
     certificate: directory.join("certificate.pem"),
-    control: at(20 + target, 7100),
+    control: address(20 + target, 7100),
     instance: id::Instance(1000 + u32::from(target)),
     key: directory.join("key.pem"),
-    peers: vec![at(11, 7100), at(12, 7100)],
-    platform: at(1, 7000),
+    peers: vec![address(11, 7100), address(12, 7100)],
+    platform: address(1, 7000),
     service: id::Service(1),
     target: id::Target(target.into()),
-    tunnel: at(20 + target, 7200),
-    upstream: at(20 + target, 8080),
+    tunnel: address(20 + target, 7200),
+    upstream: address(20 + target, 8080),
     ..settings::Agent::default()
   };
   let counter = Arc::new(Counter::default());
@@ -127,33 +127,46 @@
 }
 
 async fn wait_ready(api: SocketAddr) -> Result<()> {
-  let end = Instant::now() + READY_MAX;
-  while Instant::now() < end {
-    let answer = web::request(api, Method::GET, "/v1/ready", "", CALL_MAX).await;
+  let deadline = Instant::now() + READY_TIMEOUT;
+  while Instant::now() < deadline {
+    let answer = web::request(api, Method::GET, "/v1/ready", "", REQUEST_TIMEOUT).await;
     if answer.is_ok_and(|(status, _)| status.is_success()) {
       return Ok(());
     }
     tokio::time::sleep(Duration::from_millis(50)).await;
   }
-  bail!("process at {api} is not ready")
+  bail!("process at {api} did not become ready in time")
 }
 
 fn certificate() -> Result<(PathBuf, CertificateDer<'static>)> {
   let directory = env::temp_dir().join(format!("fallwell-quickstart-{}", std::process::id()));
   fs::create_dir_all(&directory)?;
-  let made = rcgen::generate_simple_self_signed([NAME.to_owned()])?;
-  fs::write(directory.join("certificate.pem"), made.cert.pem())?;
-  fs::write(directory.join("key.pem"), made.signing_key.serialize_pem())?;
-  Ok((directory, made.cert.der().clone()))
+  let certificate_and_key = rcgen::generate_simple_self_signed([NAME.to_owned()])?;
+  fs::write(
+    directory.join("certificate.pem"),
+    certificate_and_key.cert.pem(),
+  )?;
+  fs::write(
+    directory.join("key.pem"),
+    certificate_and_key.signing_key.serialize_pem(),
+  )?;
+  Ok((directory, certificate_and_key.cert.der().clone()))
 }
 
-async fn beats(caller: &Caller, feed: &mut fallwell::caller::Feed, count: usize) -> Result<()> {
-  for beat in 1..=count {
-    let piece = feed.next().await?.ok_or_else(|| eyre!("the feed ended"))?;
-    let text = String::from_utf8_lossy(&piece);
+async fn print_lines(
+  caller: &Caller,
+  feed: &mut fallwell::caller::Feed,
+  count: usize,
+) -> Result<()> {
+  for line in 1..=count {
+    let chunk = feed
+      .next()
+      .await?
+      .ok_or_else(|| eyre!("the feed has ended unexpectedly"))?;
+    let text = String::from_utf8_lossy(&chunk);
     let trip = caller.round_trip();
     println!(
-      "  feed {beat}/{count}: {} (round trip {trip:?})",
+      "  feed {line}/{count}: {} (round trip {trip:?})",
       text.trim()
     );
   }
@@ -162,30 +175,34 @@
 
 #[tokio::main]
 async fn main() -> Result<()> {
-  println!("platform: {}; fabric before {}", at(1, 7000), at(100, 4433));
-  tokio::spawn(Platform::run(at(1, 7000)));
-  let backs = vec![at(11, 4433), at(12, 4433)];
+  println!(
+    "platform: {}; fabric before {}",
+    address(1, 7000),
+    address(100, 4433)
+  );
+  tokio::spawn(Platform::run(address(1, 7000)));
+  let backs = vec![address(11, 4433), address(12, 4433)];
   let front = Front {
     backs,
-    listen: at(100, 4433),
+    listen: address(100, 4433),
   };
-  tokio::spawn(Fabric::run(at(1, 7001), vec![front], 1));
+  tokio::spawn(Fabric::run(address(1, 7001), vec![front], 1));
   for target in [1, 2] {
     let name = format!("upstream-{target}");
-    tokio::spawn(Upstream::run(at(20 + target, 8080), name, 1));
+    tokio::spawn(Upstream::run(address(20 + target, 8080), name, 1));
   }
   tokio::time::sleep(Duration::from_millis(200)).await;
   publish_all()
     .await
-    .wrap_err("documents are not published")?;
+    .wrap_err("failed to publish the documents")?;
   let (directory, root) = certificate()?;
   let mut balancers = vec![start_balancer(1)?, start_balancer(2)?];
   let mut agents = [start_agent(1, &directory)?, start_agent(2, &directory)?];
   for host in [11, 12, 21, 22] {
-    wait_ready(at(host, 7300)).await?;
+    wait_ready(address(host, 7300)).await?;
   }
-  println!("all are ready; a caller opens a flow");
-  let caller = Caller::open(at(100, 4433), NAME, &[root]).await?;
+  println!("all processes are ready; a caller opens a flow");
+  let caller = Caller::open(address(100, 4433), NAME, &[root]).await?;
   let answer = caller.request(Method::GET, "/hello", &[], "").await?;
   println!(
     "GET /hello: {} {}",
@@ -201,11 +218,11 @@
     String::from_utf8_lossy(&answer.body)
   );
   let mut feed = caller.feed("/feed?interval_ms=200").await?;
-  beats(&caller, &mut feed, 5).await?;
-  println!("balancer 1 dies; the fabric goes on handing it every other packet");
+  print_lines(&caller, &mut feed, 5).await?;
+  println!("balancer 1 stops; the fabric still forwards every other packet to it");
   balancers[0].stop();
-  beats(&caller, &mut feed, 15).await?;
-  println!("the flow survived the death of a balancer: 0 broken flows");
+  print_lines(&caller, &mut feed, 15).await?;
+  println!("the flow survived the loss of a balancer: 0 broken flows");
   caller.close().await;
   for tree in agents.iter_mut().chain(&mut balancers) {
     tree.stop();
