--- a/src/supervisor/tree.rs
+++ b/src/supervisor/tree.rs
@@ -32,7 +32,8 @@
 pub struct Tree {
   parts: Vec<Part>,
   counter: Arc<Counter>,
-  fatal_faults: (Sender<Fault>, Receiver<Fault>),
+  fatal_faults: Receiver<Fault>,
+  fatal_sender: Sender<Fault>,
 }
 
 #[derive(Debug)]
@@ -45,16 +46,18 @@
 impl Tree {
   /// Creates a supervisor without parts. Failures are counted in `counter`.
   pub fn new(counter: Arc<Counter>) -> Self {
+    let (fatal_sender, fatal_faults) = channel::unbounded();
     Self {
       parts: Vec::new(),
       counter,
-      fatal_faults: channel::unbounded(),
+      fatal_faults,
+      fatal_sender,
     }
   }
 
   /// Receives the last fault of each part that has failed too often to be restarted.
   pub fn fatal_faults(&self) -> &Receiver<Fault> {
-    &self.fatal_faults.1
+    &self.fatal_faults
   }
 
   /// Starts a part in its own thread and restarts it when it fails or panics. A part that returns
@@ -66,14 +69,14 @@
   ) -> Result<(), Fault> {
     let stop = Stop::default();
     let counter = Arc::clone(&self.counter);
-    let fatal_faults = self.fatal_faults.0.clone();
+    let fatal_sender = self.fatal_sender.clone();
     let handle = thread::Builder::new()
       .name(name.into())
       .spawn({
         let stop = stop.clone();
         move || {
           if let Err(fault) = supervise(name, &stop, &counter, part) {
-            let _ = fatal_faults.send(fault);
+            let _ = fatal_sender.send(fault);
           }
         }
       })
