--- a/src/control.rs
+++ b/src/control.rs
@@ -122,7 +122,7 @@
         machine.is_reader(settings.instance, &settings.data_centre, settings.readers);
       (designated, machine.confirmed(Instant::now()))
     };
-    let Some(wait) = reader.ask(Instant::now(), designated, confirmed) else {
+    let Some(wait) = reader.due_wait(Instant::now(), designated, confirmed) else {
       continue;
     };
     node.counter().add("platform.reads", 1);
--- a/src/platform/reader.rs
+++ b/src/platform/reader.rs
@@ -54,7 +54,7 @@
   /// If a request is due now, returns how long the platform may wait for a change: the full wait
   /// for a `designated` reader, zero for a poll of another process. `confirmed` is the time since
   /// the platform last confirmed the configuration to any reader.
-  pub fn ask(
+  pub fn due_wait(
     &mut self,
     now: Instant,
     designated: bool,
