--- a/src/control.rs
+++ b/src/control.rs
@@ -128,7 +128,7 @@
     node.counter().add("platform.reads", 1);
     match Changes::watch(settings.platform, after, &keys(settings.role), wait).await {
       Ok(changes) => {
-        reader.answered();
+        reader.reset_backoff();
         after = apply_changes(node, after, changes);
       }
       Err(fault) => {
--- a/src/platform/reader.rs
+++ b/src/platform/reader.rs
@@ -82,7 +82,7 @@
   }
 
   /// Clears the backoff, after the platform has answered.
-  pub fn answered(&mut self) {
+  pub fn reset_backoff(&mut self) {
     self.failures = 0;
     self.next_request = None;
   }
