--- a/src/control.rs
+++ b/src/control.rs
@@ -132,7 +132,7 @@
         after = apply_changes(node, after, changes);
       }
       Err(fault) => {
-        reader.failed(Instant::now());
+        reader.back_off(Instant::now());
         node.counter().count(Code::PlatformUnreachable);
         log::debug!("platform: {fault}.");
       }
--- a/src/platform/reader.rs
+++ b/src/platform/reader.rs
@@ -88,7 +88,7 @@
   }
 
   /// Delays the next request: exponential backoff with full jitter.
-  pub fn failed(&mut self, now: Instant) {
+  pub fn back_off(&mut self, now: Instant) {
     self.failures += 1;
     let doubled = Duration::from_millis(250) * (1 << self.failures.min(6));
     let wait = doubled.min(self.settings.back_off_max);
