--- a/src/control.rs
+++ b/src/control.rs
@@ -8,7 +8,7 @@
     config::Key,
     id,
     peer::{Event, Message, Node, Role, Server},
-    platform::{self, Changes, Reader},
+    platform::{self, Changes, ReadSchedule},
     supervisor::Stop,
   },
   std::{
@@ -105,7 +105,7 @@
 /// Reads changes from the platform while this process is a designated reader, or while the last
 /// confirmation that it knows of is too old.
 async fn read(settings: &Settings, node: &Arc<Node>) {
-  let mut reader = Reader::new(
+  let mut schedule = ReadSchedule::new(
     platform::Settings::default(),
     u64::from(settings.instance.0),
   );
@@ -122,17 +122,17 @@
         machine.is_reader(settings.instance, &settings.data_centre, settings.readers);
       (designated, machine.confirmed(Instant::now()))
     };
-    let Some(wait) = reader.due_wait(Instant::now(), designated, confirmed) else {
+    let Some(wait) = schedule.due_wait(Instant::now(), designated, confirmed) else {
       continue;
     };
     node.counter().add("platform.reads", 1);
     match Changes::watch(settings.platform, after, &keys(settings.role), wait).await {
       Ok(changes) => {
-        reader.reset_backoff();
+        schedule.reset_backoff();
         after = apply_changes(node, after, changes);
       }
       Err(fault) => {
-        reader.back_off(Instant::now());
+        schedule.back_off(Instant::now());
         node.counter().count(Code::PlatformUnreachable);
         log::debug!("platform: {fault}.");
       }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,9 +1,9 @@
 //! Read-only access to the platform's configuration service.
 
 mod change;
-mod reader;
+mod schedule;
 
 pub use {
   change::{Change, Changes},
-  reader::{Reader, Settings},
+  schedule::{ReadSchedule, Settings},
 };
--- a/src/platform/reader.rs
+++ b/src/platform/schedule.rs
@@ -32,14 +32,14 @@
 /// continuously. The other processes poll it only while no reader reaches it, each at random
 /// times, so that the fleet does not poll all at once.
 #[derive(Debug)]
-pub struct Reader {
+pub struct ReadSchedule {
   failures: u32,
   next_request: Option<Instant>,
   rng: SmallRng,
   settings: Settings,
 }
 
-impl Reader {
+impl ReadSchedule {
   /// A scheduler whose first request is due as soon as its role allows it; `seed` determines the
   /// random delays.
   pub fn new(settings: Settings, seed: u64) -> Self {
@@ -53,7 +53,7 @@
 
   /// If a request is due now, returns how long the platform may wait for a change: the full wait
   /// for a `designated` reader, zero for a poll of another process. `confirmed` is the time since
-  /// the platform last confirmed the configuration to any reader.
+  /// the platform last confirmed the configuration to any schedule.
   pub fn due_wait(
     &mut self,
     now: Instant,
