--- a/src/logging.rs
+++ b/src/logging.rs
@@ -9,7 +9,7 @@
   serde::{Deserialize, Serialize},
 };
 
-pub use lines::{due, flush, flush_if_due};
+pub use lines::{defer_flush, flush, flush_if_due};
 
 /// Settings of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/src/logging/lines.rs
+++ b/src/logging/lines.rs
@@ -111,7 +111,7 @@
 
 /// The time at which the buffer has to be flushed; none if it is empty. From the first call on,
 /// lines are no longer written at once: the caller has to call [`flush_if_due`] at that time.
-pub fn due() -> Option<Instant> {
+pub fn defer_flush() -> Option<Instant> {
   let mut buffer = buffer();
   buffer.deferred = true;
   buffer.oldest.map(|oldest| oldest + FLUSH_DELAY)
--- a/tests/datagram/logs.rs
+++ b/tests/datagram/logs.rs
@@ -2,5 +2,5 @@
 
 #[test]
 fn without_buffered_lines_no_flush_is_due() {
-  assert_eq!(fallwell::logging::due(), None);
+  assert_eq!(fallwell::logging::defer_flush(), None);
 }
