--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -8,7 +8,7 @@
     net::Socket,
     peer::{self, Machine, Node, Role},
     process::{Process, Signal},
-    settings::{self, bound},
+    settings::{self, bind_address},
     state::Registry,
     supervisor::Tree,
   },
@@ -56,8 +56,8 @@
   let registry = Registry::default();
   metrics::start(settings.metrics, counter, &registry, tree)?;
   let (views_sender, views) = channel::unbounded();
-  let tunnel = Socket::bind(bound(settings.tunnel, settings.bind), false)?;
-  let handoffs = listen(bound(settings.tunnel, settings.bind))?;
+  let tunnel = Socket::bind(bind_address(settings.tunnel, settings.bind), false)?;
+  let handoffs = listen(bind_address(settings.tunnel, settings.bind))?;
   let shared = Shared::new(settings.clone(), tunnel, handoffs, Arc::clone(counter));
   let node = Node::new(
     settings.control,
--- a/src/balancer/run.rs
+++ b/src/balancer/run.rs
@@ -7,7 +7,7 @@
     logging, metrics,
     peer::{self, Machine, Node, Role},
     process::{Process, Signal},
-    settings::{self, bound},
+    settings::{self, bind_address},
     state::Registry,
     supervisor::Tree,
   },
@@ -82,7 +82,7 @@
       .run(stop)
     })?;
   }
-  let tunnel = bound(settings.tunnel, settings.bind);
+  let tunnel = bind_address(settings.tunnel, settings.bind);
   let controller_counter = Arc::clone(counter);
   let controller_node = Arc::clone(&node);
   tree.start("controller", move |stop| {
--- a/src/balancer/worker.rs
+++ b/src/balancer/worker.rs
@@ -7,7 +7,7 @@
     id,
     net::{Batch, Outbox, Socket},
     routing::{self, Route},
-    settings::bound,
+    settings::bind_address,
     supervisor::Stop,
     wire::{Carry, Chain, Cid, Echo, Flow, Frame, HEADER_MAX, Packet, Probe, Return, Tagger},
   },
@@ -80,7 +80,7 @@
     reports: Sender<Report>,
   ) -> Result<Self, Fault> {
     let poll = Poll::new().map_err(|error| Fault::new(Code::ChildFailed, error))?;
-    let tunnel = Socket::bind(bound(settings.tunnel, settings.bind), true)?;
+    let tunnel = Socket::bind(bind_address(settings.tunnel, settings.bind), true)?;
     tunnel
       .register(poll.registry(), TUNNEL)
       .map_err(|error| Fault::new(Code::ChildFailed, error))?;
@@ -357,7 +357,7 @@
         .values()
         .any(|listener| listener.service == *service)
       {
-        self.listen(*service, bound(*address, self.settings.bind));
+        self.listen(*service, bind_address(*address, self.settings.bind));
       }
     }
     self.observations.retain(|(service, target)| {
@@ -372,7 +372,7 @@
     let Some((address, _)) = snapshot.services.get(&listener.service) else {
       return false;
     };
-    let expected = bound(*address, self.settings.bind);
+    let expected = bind_address(*address, self.settings.bind);
     listener
       .socket
       .address()
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -1,6 +1,6 @@
 use {
   super::{Client, ConfigView, Event, Machine, Message},
-  crate::{Code, counter::Counter, settings::bound, state::Registry},
+  crate::{Code, counter::Counter, settings::bind_address, state::Registry},
   crossbeam::channel::Sender,
   serde_json::json,
   std::{
@@ -57,7 +57,7 @@
 
   /// The address to which the listening socket is bound.
   pub fn bind_address(&self) -> SocketAddr {
-    bound(self.address, self.bind)
+    bind_address(self.address, self.bind)
   }
 
   /// Handles a peer's message: returns the answers to that peer and sends messages to others in the
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,7 +18,7 @@
 
 /// The local address to bind for an address that others connect to: the IP address `bind`, if set,
 /// with the same port.
-pub fn bound(address: SocketAddr, bind: Option<IpAddr>) -> SocketAddr {
+pub fn bind_address(address: SocketAddr, bind: Option<IpAddr>) -> SocketAddr {
   bind.map_or(address, |ip| SocketAddr::new(ip, address.port()))
 }
 
