--- a/src/command/wait.rs
+++ b/src/command/wait.rs
@@ -141,7 +141,7 @@
   let known = closed.iter().any(|name| name == data_centre);
   (!known).then(|| {
     format!(
-      "found it open, last word of the platform {}",
+      "found it open, last answer of the platform {}",
       confirmation_age(spread)
     )
   })
@@ -164,7 +164,7 @@
     return Some(WITHOUT_DATAGRAMS.into());
   };
   let age = confirmation_age(spread);
-  (found < version).then(|| format!("found version {found}, last word of the platform {age}"))
+  (found < version).then(|| format!("found version {found}, last answer of the platform {age}"))
 }
 
 /// Why a process does not have the generation in force; none when it has.
