--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -93,7 +93,7 @@
     }));
   }
   thread::sleep(Duration::from_millis(500));
-  let (before, used, begun) = (
+  let (before, used, started) = (
     count.load(Ordering::Relaxed),
     process.processor_time(),
     Instant::now(),
@@ -101,7 +101,7 @@
   thread::sleep(ROUND_DURATION);
   let packets = (count.load(Ordering::Relaxed) - before) as f64;
   let processor = process.processor_time().saturating_sub(used).as_secs_f64();
-  let time = begun.elapsed().as_secs_f64();
+  let time = started.elapsed().as_secs_f64();
   stop.store(true, Ordering::Relaxed);
   for sender in senders {
     let _ = sender.join();
--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -80,8 +80,8 @@
   }
 }
 
-/// Partitions the balancers into halves for a minute, publishes ten changes in each, and returns the
-/// time until all agree after the partition, in milliseconds.
+/// Partitions the balancers into halves for a minute and publishes ten changes in each. Returns the
+/// time from the end of the partition until all agree, in milliseconds.
 fn heal_partition(mesh: &mut Mesh, first: u64) -> u128 {
   let replicas = mesh.machines.len();
   mesh.cut = Box::new(move |a, b| (a < replicas / 2) != (b < replicas / 2));
--- a/src/api.rs
+++ b/src/api.rs
@@ -102,8 +102,8 @@
   )
 }
 
-/// The representation of a service. `is_current` says whether the packet path has applied the latest
-/// configuration.
+/// The representation of a service. `is_current` says whether packets are forwarded by the latest
+/// configuration of the process.
 fn service_json(store: &Store, id: id::Service, is_current: bool) -> Value {
   let key = Key::Service(id);
   let service = store.service(id);
--- a/src/platform/change.rs
+++ b/src/platform/change.rs
@@ -45,8 +45,8 @@
       path.push_str("&keys=");
       path.push_str(&keys.join(","));
     }
-    let limit = wait + Duration::from_secs(2);
-    let (status, body) = web::request(platform, Method::GET, &path, "", limit).await?;
+    let timeout = wait + Duration::from_secs(2);
+    let (status, body) = web::request(platform, Method::GET, &path, "", timeout).await?;
     if status != StatusCode::OK {
       return Err(Fault::new(
         Code::PlatformUnreachable,
--- a/src/standin/fault.rs
+++ b/src/standin/fault.rs
@@ -10,8 +10,8 @@
 pub struct Plan {
   /// Pairs of IP addresses that cannot reach each other.
   pub cuts: Vec<(IpAddr, IpAddr)>,
-  /// The largest additional delay of a packet, in milliseconds. Delays are random, so packets may be
-  /// reordered.
+  /// The largest additional delay of a packet, in milliseconds. Delays are random, so packets may
+  /// be reordered.
   pub delay_ms: u64,
   /// The fraction of packets that are duplicated.
   pub duplicate: f64,
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -88,8 +88,8 @@
     web::answer(StatusCode::OK, json!({ "revision": revision }).to_string())
   }
 
-  /// Sets the condition of the service: `up`, `down` (unavailable), or `stale` (watches are answered
-  /// from a snapshot taken now).
+  /// Sets the condition of the service: `up`, `down` (unavailable), or `stale` (watches are
+  /// answered from a snapshot taken now).
   fn set_condition(&self, text: &str) -> Response<Full<Bytes>> {
     let mut state = self.lock();
     match text {
--- a/src/supervisor/tree.rs
+++ b/src/supervisor/tree.rs
@@ -19,11 +19,11 @@
 /// The longest delay before a restart.
 const RESTART_DELAY_MAX: Duration = Duration::from_secs(5);
 
-/// A part that fails this often within `FAILURE_WINDOW` is not restarted: the process exits, and its
-/// service manager restarts it.
+/// A part that fails this often within `FAILURE_WINDOW` is not restarted. The process exits, and
+/// its service manager restarts it.
 const FAILURES_MAX: u32 = 5;
 
-/// The window in which failures are counted.
+/// The period in which failures are counted.
 const FAILURE_WINDOW: Duration = Duration::from_mins(1);
 
 /// Supervises the parts of a process. Each part is a thread; they are stopped in the reverse order
