--- a/src/bin/agent.rs
+++ b/src/bin/agent.rs
@@ -21,7 +21,7 @@
 }
 
 fn run() -> Result<(), Fault> {
-  match process::start(HELP, settings::Agent::check)? {
+  match process::load_settings(HELP, settings::Agent::check)? {
     Some(settings) => agent::run(&settings),
     None => Ok(()),
   }
--- a/src/bin/balancer.rs
+++ b/src/bin/balancer.rs
@@ -19,7 +19,7 @@
 }
 
 fn run() -> Result<(), Fault> {
-  match process::start(HELP, settings::Balancer::check)? {
+  match process::load_settings(HELP, settings::Balancer::check)? {
     Some(settings) => balancer::run(&settings),
     None => Ok(()),
   }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -93,7 +93,7 @@
     let _ = timeout(Duration::from_secs(1), self.endpoint.wait_idle()).await;
   }
 
-  /// Why the flow was closed; none while it is open.
+  /// Why the flow has closed; none while it is open.
   pub fn ended(&self) -> Option<String> {
     self
       .connection
--- a/src/code.rs
+++ b/src/code.rs
@@ -18,7 +18,7 @@
       /// All codes, ordered by number.
       pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-      /// The number that identifies the code in documents and messages.
+      /// The number that identifies the code in the documentation and in messages.
       pub fn number(self) -> u16 {
         match self {
           $(Self::$name => $number,)*
--- a/src/counter.rs
+++ b/src/counter.rs
@@ -63,7 +63,7 @@
     self.codes[code as usize].load(Ordering::Relaxed)
   }
 
-  /// Records a duration in the histogram `name`, with microsecond resolution.
+  /// Records a duration in the histogram `name`, in microseconds with two significant digits.
   pub fn observe(&self, name: &'static str, time: Duration) {
     let mut times = self.times.lock().unwrap_or_else(PoisonError::into_inner);
     if !times.contains_key(name) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Fallwell, a layer-4 load balancer whose flows survive restarts of its processes.
+//! Fallwell, a layer-4 load balancer whose flows survive restarts of the balancers.
 //!
-//! All decisions are made by state machines that use no clock, socket or thread ([`admission`],
-//! [`config`], [`flow`], [`ledger`], [`membership`], [`peer`], [`routing`]); the programs
-//! ([`agent`], [`balancer`], [`command`]) do the input and output around them.
+//! All decisions are made by state machines that use no clock, socket or thread (in [`admission`],
+//! [`config`], [`datagram`], [`flow`], [`ledger`], [`membership`], [`peer`] and [`routing`]); the
+//! programs (such as [`agent`], [`balancer`] and [`command`]) do the input and output around them.
 
 pub mod admission;
 pub mod agent;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -35,8 +35,8 @@
   })
 }
 
-/// Reports counter increments, and the numeric fields of the state's `path` as gauges, until `stop`
-/// is set.
+/// Reports the increments of the counters, and as gauges the integer fields of the `path` part's
+/// state, until `stop` is set.
 fn run(
   server: SocketAddr,
   counter: &Counter,
--- a/src/process.rs
+++ b/src/process.rs
@@ -26,9 +26,9 @@
   Stop,
 }
 
-/// Parses a program's arguments and returns the checked settings; none if there is nothing to run,
-/// because of `--check` or `--help`.
-pub fn start<T: DeserializeOwned>(
+/// Parses a program's arguments, and reads and checks its settings. Returns none if there is
+/// nothing to run, because of `--check` or `--help`.
+pub fn load_settings<T: DeserializeOwned>(
   help: &str,
   check: impl Fn(&T) -> Result<(), Fault>,
 ) -> Result<Option<T>, Fault> {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,7 +22,8 @@
   bind.map_or(address, |ip| SocketAddr::new(ip, address.port()))
 }
 
-/// Reads settings from the file `path`. A fault contains the path, the line and the reason.
+/// Reads settings from the file `path`. A fault contains the path and the reason, and the line
+/// if the content is not valid.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Fault> {
   let text = fs::read_to_string(path).map_err(|error| {
     Fault::new(
--- a/src/settings/balancer.rs
+++ b/src/settings/balancer.rs
@@ -24,7 +24,7 @@
   pub linger_ms: u64,
   /// Settings of the log.
   pub log: logging::Settings,
-  /// The server that metrics are sent to (`StatsD` over UDP); none sends no metrics.
+  /// The server that metrics are sent to (`StatsD` over UDP); without it, none are sent.
   pub metrics: Option<SocketAddr>,
   /// The control addresses of some balancers, used at start until the instances are known.
   pub peers: Vec<SocketAddr>,
