--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
 //! Structured logging to standard output, one line of text or JSON per record. Logging never
-//! blocks: lines are dropped if standard output is too slow.
+//! blocks: lines are dropped if there are too many, or if standard output is too slow.
 
 mod lines;
 
@@ -56,8 +56,11 @@
   };
   let filter = LevelFilter::MoreSevereEqual(level);
   let format = settings.format;
-  let builder = logforth::starter_log::builder()
-    .dispatch(|dispatch| dispatch.filter(filter).append(lines::Lines::new(format)));
+  let builder = logforth::starter_log::builder().dispatch(|dispatch| {
+    dispatch
+      .filter(filter)
+      .append(lines::LineAppender::new(format))
+  });
   // Fails if a logger is installed already, by another role in the same process: that one is kept.
   let _ = builder.try_apply();
   Ok(())
--- a/src/logging/lines.rs
+++ b/src/logging/lines.rs
@@ -39,7 +39,7 @@
   dropped: u64,
   /// The start of the second that `window_bytes` counts in.
   window_start: Option<Instant>,
-  /// When the oldest line was buffered, or when the last write left lines over.
+  /// When the oldest line was buffered, or when the last write left some unwritten.
   oldest: Option<Instant>,
   /// Bytes logged in the current second.
   window_bytes: usize,
@@ -135,16 +135,16 @@
 
 /// Formats log records as lines and adds them to the buffer.
 #[derive(Debug)]
-pub struct Lines(Format);
+pub struct LineAppender(Format);
 
-impl Lines {
+impl LineAppender {
   /// Creates an appender for a format.
   pub fn new(format: Format) -> Self {
     Self(format)
   }
 }
 
-impl Append for Lines {
+impl Append for LineAppender {
   fn append(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
     let line = match self.0 {
       Format::Json => json(record),
@@ -160,7 +160,7 @@
   }
 }
 
-/// The time of a record, in milliseconds since the Unix epoch. The system clock may jump.
+/// The time of a record, in milliseconds since the Unix epoch; 0 if the system clock is before it.
 fn unix_ms(record: &Record) -> u64 {
   let unix_ms = record.time().duration_since(UNIX_EPOCH);
   unix_ms.map_or(0, |unix_ms| unix_ms.as_millis() as u64)
