--- a/src/net/batch.rs
+++ b/src/net/batch.rs
@@ -31,8 +31,8 @@
 impl Batch {
   /// The received datagrams, each with the address of its sender.
   pub fn datagrams(&self) -> impl Iterator<Item = (SocketAddr, &[u8])> {
-    let filled_count = self.metas.iter().zip(&self.buffers).take(self.filled_count);
-    filled_count.flat_map(|(meta, buffer)| {
+    let filled = self.metas.iter().zip(&self.buffers).take(self.filled_count);
+    filled.flat_map(|(meta, buffer)| {
       buffer[..meta.len]
         .chunks(meta.stride.max(1))
         .map(move |datagram| (meta.addr, datagram))
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -22,7 +22,7 @@
 }
 
 impl Socket {
-  /// Binds a socket to `address`. With `shared`, other sockets may bind the same address too, and
+  /// Binds a socket to `address`. If `shared`, other such sockets may bind the same address, and
   /// the kernel distributes flows over them (`SO_REUSEPORT`).
   pub fn bind(address: SocketAddr, shared: bool) -> Result<Self, Fault> {
     Self::open(address, shared)
