--- a/src/platform/change.rs
+++ b/src/platform/change.rs
@@ -57,7 +57,7 @@
       .map_err(|error| Fault::new(Code::DocumentUnreadable, format!("{platform}: {error}")))
   }
 
-  /// Converts the changes into records; returns a fault for each key of an unknown kind.
+  /// Converts the changes into records; returns a fault for each key that is not valid.
   pub fn records(self) -> (Vec<Record>, Vec<Fault>) {
     let mut records = Vec::new();
     let mut faults = Vec::new();
--- a/src/platform/schedule.rs
+++ b/src/platform/schedule.rs
@@ -8,10 +8,11 @@
 pub struct Settings {
   /// The largest mean delay after a failure.
   pub back_off_max: Duration,
-  /// How long after the last confirmation by any reader the other processes start to poll the
-  /// platform themselves. Longer than a watch waits and its confirmation takes to reach them.
+  /// The age of the last confirmation at which processes other than the readers start to poll the
+  /// platform. Longer than a watch and the propagation of its confirmation take.
   pub stale_after: Duration,
-  /// The mean interval between two such polls of one process.
+  /// The longest delay before the first such poll of a process, and the mean interval between later
+  /// ones, unless a failure delays them.
   pub stale_interval: Duration,
   /// How long a reader's watch waits for a change.
   pub wait: Duration,
@@ -40,8 +41,8 @@
 }
 
 impl ReadSchedule {
-  /// A scheduler whose first request is due as soon as its role allows it; `seed` determines the
-  /// random delays.
+  /// Creates a schedule. The first request of a reader is due at once; `seed` determines the random
+  /// delays.
   pub fn new(settings: Settings, seed: u64) -> Self {
     Self {
       failures: 0,
@@ -52,13 +53,13 @@
   }
 
   /// If a request is due now, returns how long the platform may wait for a change: the full wait
-  /// for a `designated` reader, zero for a poll of another process. `confirmed` is the time since
-  /// the platform last confirmed the configuration to any schedule.
+  /// for a `designated` reader, zero for a poll of another process. `confirmation_age` is the time
+  /// since the platform last confirmed the configuration to any process, as far as this one knows.
   pub fn due_wait(
     &mut self,
     now: Instant,
     designated: bool,
-    confirmed: Option<Duration>,
+    confirmation_age: Option<Duration>,
   ) -> Option<Duration> {
     if let Some(next_request) = self.next_request
       && now < next_request
@@ -68,7 +69,7 @@
     if designated {
       return Some(self.settings.wait);
     }
-    let stale = confirmed.is_none_or(|age| age >= self.settings.stale_after);
+    let stale = confirmation_age.is_none_or(|age| age >= self.settings.stale_after);
     if !stale {
       self.next_request = None;
       return None;
