--- a/src/command/wait.rs
+++ b/src/command/wait.rs
@@ -31,8 +31,8 @@
   --version N         the version of the configuration
 ";
 
-/// Reported for a process without datagram services.
-const WITHOUT_DATAGRAMS: &str = "found no version: it carries no datagram services";
+/// Reported for a process that does not serve datagram services.
+const NO_DATAGRAM_SERVICES: &str = "found no datagram services";
 
 /// How often the processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -136,10 +136,10 @@
   };
   let spread = &state["spread"];
   let Some(closed) = spread["closed"].as_array() else {
-    return Some(WITHOUT_DATAGRAMS.into());
+    return Some(NO_DATAGRAM_SERVICES.into());
   };
-  let known = closed.iter().any(|name| name == data_centre);
-  (!known).then(|| {
+  let is_closed = closed.iter().any(|name| name == data_centre);
+  (!is_closed).then(|| {
     format!(
       "found it open, last answer of the platform {}",
       confirmation_age(spread)
@@ -161,13 +161,13 @@
   };
   let spread = &state["spread"];
   let Some(found) = spread["version"].as_u64() else {
-    return Some(WITHOUT_DATAGRAMS.into());
+    return Some(NO_DATAGRAM_SERVICES.into());
   };
   let age = confirmation_age(spread);
   (found < version).then(|| format!("found version {found}, last answer of the platform {age}"))
 }
 
-/// Why a process does not have the generation in force; none when it has.
+/// Why a process does not have the generation in force; none if it does.
 async fn generation_unmet_reason(
   api: SocketAddr,
   service: id::Service,
--- a/src/command/watch.rs
+++ b/src/command/watch.rs
@@ -39,7 +39,7 @@
   Ok(())
 }
 
-/// Waits for a change after version `after`, and fetches the services.
+/// Waits up to four seconds for a change after version `after`, and fetches the services.
 async fn fetch_change(api: SocketAddr, after: u64) -> Result<serde_json::Value, Fault> {
   let path = format!("/v1/watch?after={after}&wait_ms=4000");
   fetch(api, &path).await
