--- a/src/standin/fabric.rs
+++ b/src/standin/fabric.rs
@@ -29,8 +29,8 @@
   },
 };
 
-/// The largest datagram, in bytes.
-const DATAGRAM_MAX: usize = 1 << 16;
+/// The size of a receive buffer, in bytes: no datagram is larger.
+const BUFFER_BYTES: usize = 1 << 16;
 
 /// How often a forwarded connection checks whether it is cut off.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-  /// The destinations; each packet goes to a random one.
+  /// The destinations: a datagram goes to a random one, a connection to the first.
   pub backs: Vec<SocketAddr>,
   /// The address that senders connect to.
   pub listen: SocketAddr,
@@ -56,12 +56,12 @@
   stream_bytes: AtomicU64,
 }
 
-/// Forwards the datagrams of one sender to a front.
+/// Forwards datagrams between one sender and the backs of one front.
 struct Session {
-  caller: SocketAddr,
   fabric: Arc<Fabric>,
   front: Arc<UdpSocket>,
   listen: SocketAddr,
+  sender: SocketAddr,
   socket: Arc<UdpSocket>,
 }
 
@@ -108,12 +108,12 @@
   ) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut sessions: HashMap<SocketAddr, Arc<Session>> = HashMap::new();
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-      let Ok((length, caller)) = front.recv_from(&mut buffer).await else {
+      let Ok((length, sender)) = front.recv_from(&mut buffer).await else {
         continue;
       };
-      let session = if let Some(session) = sessions.get(&caller) {
+      let session = if let Some(session) = sessions.get(&sender) {
         Arc::clone(session)
       } else {
         let local = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -121,14 +121,14 @@
           continue;
         };
         let session = Arc::new(Session {
-          caller,
           fabric: Arc::clone(&self),
           front: Arc::clone(&front),
           listen,
+          sender,
           socket: Arc::new(socket),
         });
         tokio::spawn(Arc::clone(&session).return_datagrams(rng.random()));
-        sessions.insert(caller, Arc::clone(&session));
+        sessions.insert(sender, Arc::clone(&session));
         session
       };
       session.forward(&buffer[..length], &mut rng).await;
@@ -136,7 +136,7 @@
   }
 
   async fn forward_streams(self: Arc<Self>, listen: SocketAddr, listener: TcpListener) {
-    while let Ok((mut inward, caller)) = listener.accept().await {
+    while let Ok((mut inward, client)) = listener.accept().await {
       let fabric = Arc::clone(&self);
       tokio::spawn(async move {
         let back = lock(&fabric.fronts)
@@ -145,7 +145,7 @@
         let Some(back) = back else {
           return;
         };
-        let ends = [caller.ip(), listen.ip(), back.ip()];
+        let ends = [client.ip(), listen.ip(), back.ip()];
         let cut = async {
           while !fabric.is_cut(&ends) {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -175,7 +175,7 @@
   /// Forwards one direction of a connection until it ends or is cut. Data that arrives after the
   /// cut is not forwarded.
   async fn copy_stream(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, ends: &[IpAddr; 3]) {
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
       if length == 0 || self.is_cut(ends) || to.write_all(&buffer[..length]).await.is_err() {
         return;
@@ -186,10 +186,10 @@
     }
   }
 
-  /// Whether the caller, or the front that it is connected to, is cut off from the back.
-  fn is_cut(&self, [caller, listen, back]: &[IpAddr; 3]) -> bool {
+  /// Whether the client, or the front that it is connected to, is cut off from the back.
+  fn is_cut(&self, [client, listen, back]: &[IpAddr; 3]) -> bool {
     let plan = lock(&self.plan);
-    plan.is_cut(*caller, *back) || plan.is_cut(*listen, *back)
+    plan.is_cut(*client, *back) || plan.is_cut(*listen, *back)
   }
 
   fn count(&self, datagram: &[u8]) {
@@ -252,20 +252,20 @@
   /// Forwards the datagrams from all backs to the sender.
   async fn return_datagrams(self: Arc<Self>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
       let Ok((length, back)) = self.socket.recv_from(&mut buffer).await else {
         continue;
       };
       self.fabric.count(&buffer[..length]);
       let copy_delays = self.copy_delays(back, &mut rng);
-      send_copies(&self.front, self.caller, &buffer[..length], copy_delays).await;
+      send_copies(&self.front, self.sender, &buffer[..length], copy_delays).await;
     }
   }
 
   fn copy_delays(&self, back: SocketAddr, rng: &mut SmallRng) -> Vec<Duration> {
     let plan = lock(&self.fabric.plan);
-    if plan.is_cut(self.caller.ip(), back.ip()) {
+    if plan.is_cut(self.sender.ip(), back.ip()) {
       return Vec::new();
     }
     plan.copy_delays(rng)
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -90,7 +90,7 @@
     }
     tokio::time::sleep(work).await;
     if number("held", 0) == 1 {
-      // This fails only when the upstream is dropped, which owns the sender.
+      // Fails only if the sender, which `self` owns, is dropped.
       let _ = self
         .released
         .subscribe()
