--- a/src/wire/chain.rs
+++ b/src/wire/chain.rs
@@ -1,6 +1,6 @@
 use {crate::id, arrayvec::ArrayVec};
 
-/// The largest number of targets that a packet may still be forwarded to.
+/// The largest number of targets in a chain.
 pub const CHAIN_MAX: usize = 24;
 
 /// The targets that a packet is forwarded to in turn until one of them owns its flow.
--- a/src/wire/cid.rs
+++ b/src/wire/cid.rs
@@ -12,7 +12,7 @@
 /// A connection ID that encodes its target, similar to the IETF's QUIC-LB draft: secret id (1
 /// byte), target (4), incarnation (2), random (5), tag (4). The tag also covers the service, so
 /// that an ID is valid for one service only. A random ID chosen by a caller is mistaken for a valid
-/// one with a probability of 2^-32.
+/// one with a probability of at most 2^-32.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Cid {
   /// The incarnation of the target's agent that issued the ID.
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -113,7 +113,7 @@
   pub target: id::Target,
 }
 
-/// Returns an upstream's packet to a caller through a balancer; the packet follows the header.
+/// Returns an agent's packet to a caller through a balancer; the packet follows the header.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Return {
   /// The address of the caller.
@@ -154,11 +154,11 @@
 }
 
 impl Frame {
-  /// Encodes the header, tagged with the current secret, and returns its length. The tag covers
-  /// the header and the length of the packet, but not its content, which QUIC authenticates.
+  /// Encodes the header, tagged with the current secret, and returns its length. The tag covers the
+  /// encoded frame and the length of the packet, but not its content, which QUIC authenticates.
   pub fn encode(
     &self,
-    payload: usize,
+    payload_len: usize,
     tagger: &Tagger,
     out: &mut [u8; HEADER_MAX],
   ) -> Result<usize, Code> {
@@ -170,7 +170,7 @@
     let tag = tagger
       .tag(
         out[1],
-        domain(payload),
+        domain(payload_len),
         &out[PREFIX_LEN..PREFIX_LEN + frame_len],
       )
       .ok_or(Code::FrameKeyUnknown)?;
@@ -189,9 +189,9 @@
     let body = &bytes[PREFIX_LEN..];
     let (frame, payload) =
       postcard::take_from_bytes::<Self>(body).map_err(|_| Code::FrameTruncated)?;
-    let header = &body[..body.len() - payload.len()];
+    let encoded_frame = &body[..body.len() - payload.len()];
     let tag = tagger
-      .tag(bytes[1], domain(payload.len()), header)
+      .tag(bytes[1], domain(payload.len()), encoded_frame)
       .ok_or(Code::FrameKeyUnknown)?;
     if tag.to_be_bytes() != bytes[2..PREFIX_LEN] {
       return Err(Code::FrameForged);
@@ -200,6 +200,6 @@
   }
 }
 
-fn domain(payload: usize) -> u64 {
-  DOMAIN << 32 | payload as u64
+fn domain(payload_len: usize) -> u64 {
+  DOMAIN << 32 | payload_len as u64
 }
