--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -17,7 +17,7 @@
 /// How long processor time and traffic are measured while nothing changes.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// Numbers of services and instances: a quarter, half, and all of the size to design for.
+/// Numbers of services and instances: a quarter, half, and all of the design size.
 const SIZES: [(u16, usize); 3] = [(132, 910), (265, 1820), (530, 3640)];
 
 async fn publish_record(fleet: &Fleet, record: Record) {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -176,7 +176,7 @@
 #[tokio::main]
 async fn main() -> Result<()> {
   println!(
-    "platform: {}; fabric before {}",
+    "platform: {}; fabric at {}",
     address(1, 7000),
     address(100, 4433)
   );
