--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -76,7 +76,7 @@
   pub target: Option<id::Target>,
 }
 
-/// Notifies the agent that forwarded a packet of the target that owns its flow.
+/// Notifies the agent that forwarded a packet which target owns the flow.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Found {
   /// The flow's key.
