--- a/benches/full_size.rs
+++ b/benches/full_size.rs
@@ -57,30 +57,30 @@
     }
     time_to_in_force(&mut fleet).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let processor_time = fleet.balancer(1).processor_time();
+    let cpu_time = fleet.balancer(1).cpu_time();
     let bytes = control_bytes(&fleet.balancer_state(1).await);
-    let stream_bytes = fleet.fabric_figures().await["stream_bytes"]
+    let stream_bytes = fleet.fabric_counters().await["stream_bytes"]
       .as_u64()
       .expect("bytes");
     tokio::time::sleep(MEASURED_TIME).await;
-    let stream_bytes = fleet.fabric_figures().await["stream_bytes"]
+    let stream_bytes = fleet.fabric_counters().await["stream_bytes"]
       .as_u64()
       .expect("bytes")
       - stream_bytes;
     // Each byte is sent by one balancer and received by another.
     let stream_bytes = stream_bytes * 2 / MEASURED_TIME.as_secs() / u64::from(BALANCERS);
-    let processor_time = fleet
+    let cpu_time = fleet
       .balancer(1)
-      .processor_time()
-      .saturating_sub(processor_time)
+      .cpu_time()
+      .saturating_sub(cpu_time)
       .as_secs_f64()
       / MEASURED_TIME.as_secs_f64();
     let bytes = (control_bytes(&fleet.balancer_state(1).await) - bytes) / MEASURED_TIME.as_secs();
-    let memory = fleet.balancer(1).memory() as f64 / 1e6;
+    let memory = fleet.balancer(1).resident_bytes() as f64 / 1e6;
     println!(
       "{services} services, {instances} instances: {memory:.1} MB, {:.2}% of a core, {bytes} control bytes/s by the codec, {stream_bytes} \
        in and out as carried",
-      processor_time * 100.0
+      cpu_time * 100.0
     );
     let mut healthy = Vec::new();
     for _ in 0..10 {
@@ -88,7 +88,7 @@
     }
     let cuts = vec![fleet.cut_from_platform(1), fleet.cut_from_platform(2)];
     fleet
-      .plan(&Plan {
+      .inject_faults(&Plan {
         cuts,
         ..Plan::default()
       })
@@ -97,7 +97,7 @@
     for _ in 0..10 {
       partitioned.push(time_to_in_force(&mut fleet).await.as_millis());
     }
-    fleet.plan(&Plan::default()).await;
+    fleet.inject_faults(&Plan::default()).await;
     println!(
       "  publishing to in force on {BALANCERS}, ms: healthy {healthy:?}; platform out of reach of half {partitioned:?}"
     );
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -22,29 +22,26 @@
   let mut fleet = fleet.start().await;
   let mut flows = Vec::new();
   let mut rows: Vec<(usize, u64, u64)> = Vec::new();
-  let idle = fleet.agent(1, 1).processor_time();
+  let idle = fleet.agent(1, 1).cpu_time();
   tokio::time::sleep(std::time::Duration::from_secs(10)).await;
-  let idle = fleet.agent(1, 1).processor_time().saturating_sub(idle);
+  let idle = fleet.agent(1, 1).cpu_time().saturating_sub(idle);
   println!(
     "an agent without flows: {:.2}% of a core",
     idle.as_secs_f64() * 10.0
   );
   println!("flows | agent MB | balancer MB | processor ms a new flow: agent, balancer");
   for flow_count in FLOW_COUNTS {
-    let used = (
-      fleet.agent(1, 1).processor_time(),
-      fleet.balancer(1).processor_time(),
-    );
+    let used = (fleet.agent(1, 1).cpu_time(), fleet.balancer(1).cpu_time());
     let new_flows = flow_count - flows.len();
     let opened = stream::iter(0..new_flows)
       .map(|_| fleet.caller(1))
       .buffer_unordered(50);
     flows.extend(opened.collect::<Vec<_>>().await);
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
-    let agent = fleet.agent(1, 1).memory();
-    let agent_used = fleet.agent(1, 1).processor_time().saturating_sub(used.0);
-    let balancer = fleet.balancer(1).memory();
-    let balancer_used = fleet.balancer(1).processor_time().saturating_sub(used.1);
+    let agent = fleet.agent(1, 1).resident_bytes();
+    let agent_used = fleet.agent(1, 1).cpu_time().saturating_sub(used.0);
+    let balancer = fleet.balancer(1).resident_bytes();
+    let balancer_used = fleet.balancer(1).cpu_time().saturating_sub(used.1);
     let ms_per_flow =
       |time: std::time::Duration| time.as_secs_f64() * 1e3 / new_flows.max(1) as f64;
     println!(
--- a/benches/packets.rs
+++ b/benches/packets.rs
@@ -95,12 +95,12 @@
   thread::sleep(Duration::from_millis(500));
   let (before, used, started) = (
     count.load(Ordering::Relaxed),
-    process.processor_time(),
+    process.cpu_time(),
     Instant::now(),
   );
   thread::sleep(ROUND_DURATION);
   let packets = (count.load(Ordering::Relaxed) - before) as f64;
-  let processor = process.processor_time().saturating_sub(used).as_secs_f64();
+  let processor = process.cpu_time().saturating_sub(used).as_secs_f64();
   let time = started.elapsed().as_secs_f64();
   stop.store(true, Ordering::Relaxed);
   for sender in senders {
@@ -118,10 +118,10 @@
   let mut fleet = fleet.start().await;
   let count = Arc::new(AtomicU64::new(0));
   let stop = Arc::new(AtomicBool::new(false));
-  let target = fleet.listed_agent(1, 1, 7200);
+  let target = fleet.published_agent(1, 1, 7200);
   count_received(target, Arc::clone(&count), Arc::clone(&stop));
   let listen = SocketAddr::new(target.ip(), 7999);
-  let relay = fleet.standin(&[
+  let relay = fleet.start_standin(&[
     "relay",
     "--listen",
     &listen.to_string(),
@@ -129,7 +129,7 @@
     &target.to_string(),
   ]);
   thread::sleep(Duration::from_millis(300));
-  let entry = fleet.entry(1, 1);
+  let entry = fleet.balancer_service_address(1, 1);
   println!("packets of {PACKET_BYTES} bytes, {SENDERS} senders, one thread each:");
   let mut ratios = Vec::new();
   for round in 1..=3 {
--- a/benches/round_trip.rs
+++ b/benches/round_trip.rs
@@ -17,7 +17,7 @@
     sync::Arc,
     time::{Duration, Instant},
   },
-  support::fleet::{Fleet, NAME},
+  support::fleet::{Fleet, SERVER_NAME},
 };
 
 const REQUESTS: u32 = 4000;
@@ -26,7 +26,7 @@
 /// and certificate.
 fn start_plain_server(upstream: SocketAddr) -> (SocketAddr, CertificateDer<'static>) {
   let certificate_and_key =
-    rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("certificate");
+    rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()]).expect("certificate");
   let key = PrivateKeyDer::try_from(certificate_and_key.signing_key.serialize_der()).expect("key");
   let provider = Arc::new(rustls::crypto::ring::default_provider());
   let mut tls = rustls::ServerConfig::builder_with_provider(provider)
@@ -89,7 +89,7 @@
 async fn main() {
   let fleet = Fleet::new().balancers(2).service(1, 1).start().await;
   let (address, certificate) = start_plain_server(fleet.upstream_address(1, 1));
-  let direct = Caller::open(address, NAME, &[certificate])
+  let direct = Caller::open(address, SERVER_NAME, &[certificate])
     .await
     .expect("flow");
   let balanced = fleet.caller(1).await;
--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -65,11 +65,11 @@
     times.sort_unstable();
     let healed = heal_partition(&mut mesh, 250_000);
     // A data centre has failed, but its instances are still in the configuration.
-    mesh.cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
+    mesh.is_cut = Box::new(|a, b| a % 5 == 0 || b % 5 == 0);
     let (partitioned, _) = publish_changes(&mut mesh, 300_000, idle_bytes, |index| index % 5 != 0);
-    mesh.cut = Box::new(|_, _| false);
+    mesh.is_cut = Box::new(|_, _| false);
     mesh.run(Duration::from_secs(30));
-    mesh.loss = 0.2;
+    mesh.loss_probability = 0.2;
     let (lossy, _) = publish_changes(&mut mesh, 400_000, idle_bytes, |_| true);
     println!(
       "{replicas:>9} | {:>13} | {:>8} | {:>22} | {:>18} | {healed:>9} | {idle_bytes:>16.0} | {bytes_per_change:>17.0} | {tick_us:>9.1}",
@@ -85,7 +85,7 @@
 /// time from the end of the partition until all agree, in milliseconds.
 fn heal_partition(mesh: &mut Mesh, first_revision: u64) -> u128 {
   let replicas = mesh.machines.len();
-  mesh.cut = Box::new(move |a, b| (a < replicas / 2) != (b < replicas / 2));
+  mesh.is_cut = Box::new(move |a, b| (a < replicas / 2) != (b < replicas / 2));
   for change in 0..10_u64 {
     let id = 2 + change as u16;
     mesh.publish(0, service(id, 7, first_revision + change));
@@ -95,7 +95,7 @@
     );
     mesh.run(Duration::from_secs(6));
   }
-  mesh.cut = Box::new(|_, _| false);
+  mesh.is_cut = Box::new(|_, _| false);
   let agreed = mesh.run_until(Duration::from_mins(1), |machines| {
     let digest = machines[0].store().digest();
     machines
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -161,7 +161,7 @@
   /// The time until the machine or the log has something to do.
   fn wait(&self, now: Instant) -> Duration {
     let due = self.machine.deadline();
-    let due = logging::due().map_or(due, |logs| due.min(logs));
+    let due = logging::defer_flush().map_or(due, |logs| due.min(logs));
     due.saturating_duration_since(now)
   }
 
