--- a/src/api.rs
+++ b/src/api.rs
@@ -50,10 +50,7 @@
     "/v1/watch" => watch(node, request.uri().query()).await,
     _ => match path.strip_prefix("/v1/services/") {
       Some(id) => service(node, id),
-      None => error_response(
-        StatusCode::NOT_FOUND,
-        &format!("found no resource at `{path}`"),
-      ),
+      None => error_response(StatusCode::NOT_FOUND, &format!("found path `{path}`")),
     },
   }
 }
--- a/src/datagram/node/control.rs
+++ b/src/datagram/node/control.rs
@@ -264,10 +264,9 @@
     return web::answer(StatusCode::BAD_REQUEST, "expected `after`, a revision");
   };
   match postcard::to_allocvec(&context.shared.catalog().since(after)) {
-    Ok(body) if !context.allowance.admits(Instant::now(), body.len()) => web::answer(
-      StatusCode::SERVICE_UNAVAILABLE,
-      "link is busy; pull from another peer",
-    ),
+    Ok(body) if !context.allowance.admits(Instant::now(), body.len()) => {
+      web::answer(StatusCode::SERVICE_UNAVAILABLE, "ask another")
+    }
     Ok(body) => web::answer(StatusCode::OK, body),
     Err(error) => web::answer(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
   }
