--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -11,7 +11,7 @@
 pub use {
   controller::Controller,
   observations::Observations,
-  report::Report,
+  report::WorkerReport,
   run::{run, start},
   snapshot::Snapshot,
   worker::{Settings, Worker},
--- a/src/balancer/controller.rs
+++ b/src/balancer/controller.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Report, Snapshot},
+  super::{Snapshot, WorkerReport},
   crate::{
     Code, Revision,
     code::Fault,
@@ -92,7 +92,7 @@
   pub fn run(
     &mut self,
     views: &Receiver<Arc<ConfigView>>,
-    reports: &Receiver<Report>,
+    reports: &Receiver<WorkerReport>,
     stop: &Stop,
   ) -> Result<(), Fault> {
     let ticks = channel::tick(POLL_INTERVAL);
@@ -167,7 +167,7 @@
     listed
   }
 
-  fn apply_report(&mut self, report: Report) {
+  fn apply_report(&mut self, report: WorkerReport) {
     let now = Instant::now();
     self.packets_in += report.packets_in;
     self.packets_out += report.packets_out;
--- a/src/balancer/report.rs
+++ b/src/balancer/report.rs
@@ -2,7 +2,7 @@
 
 /// What a worker observed since its last report, for the controller.
 #[derive(Clone, Debug, Default)]
-pub struct Report {
+pub struct WorkerReport {
   /// Targets that frames were received from.
   pub heard: Vec<Member>,
   /// The number of packets from callers.
--- a/src/balancer/worker.rs
+++ b/src/balancer/worker.rs
@@ -1,5 +1,5 @@
 use {
-  super::{Observations, Report, Snapshot},
+  super::{Observations, Snapshot, WorkerReport},
   crate::{
     Code,
     code::Fault,
@@ -63,8 +63,8 @@
   next_token: usize,
   observations: Observations,
   poll: Poll,
-  report: Report,
-  reports: Sender<Report>,
+  report: WorkerReport,
+  reports: Sender<WorkerReport>,
   settings: Settings,
   snapshot: Arc<Snapshot>,
   snapshots: Receiver<Arc<Snapshot>>,
@@ -77,7 +77,7 @@
     settings: Settings,
     counter: Arc<Counter>,
     snapshots: Receiver<Arc<Snapshot>>,
-    reports: Sender<Report>,
+    reports: Sender<WorkerReport>,
   ) -> Result<Self, Fault> {
     let poll = Poll::new().map_err(|error| Fault::new(Code::ChildFailed, error))?;
     let tunnel = Socket::bind(bind_address(settings.tunnel, settings.bind), true)?;
@@ -91,7 +91,7 @@
       next_token: 1,
       observations: Observations::default(),
       poll,
-      report: Report::default(),
+      report: WorkerReport::default(),
       reports,
       settings,
       snapshot: Arc::default(),
@@ -398,7 +398,7 @@
 
   fn send_report(&mut self) {
     let (heard, sent) = self.observations.take();
-    let report = Report {
+    let report = WorkerReport {
       heard,
       sent,
       version: self.snapshot.version,
