--- a/src/agent/home.rs
+++ b/src/agent/home.rs
@@ -132,7 +132,7 @@
     earlier_runs = EarlierRuns::Lost;
   }
   for hop in hops(shared, homes) {
-    match claim(shared, call, hop).await {
+    match claim_from_earlier_home(shared, call, hop).await {
       Claim::Answered(answer) => {
         return Err(Box::new(Reply::Streamed(Streamed::new(answer, None))));
       }
@@ -163,7 +163,8 @@
   Unreachable,
 }
 
-async fn claim(shared: &Shared, call: &Call, hop: Hop) -> Claim {
+/// Asks an earlier home of the call's key to give the key up or return the answer stored for it.
+async fn claim_from_earlier_home(shared: &Shared, call: &Call, hop: Hop) -> Claim {
   let Some(copy) = call.try_clone() else {
     return Claim::Unreachable;
   };
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -84,11 +84,11 @@
     return Reply::Problem(Problem::new(Code::RequestDeadline));
   }
   let weight = call.route.weight;
-  shared.add_work(weight);
+  shared.add_sent_weight(weight);
   match upstream::send(shared.settings.upstream, None, call).await {
     Ok(answer) => Reply::Streamed(Streamed::new(answer, slot)),
     Err(Failure::Refused | Failure::Unreachable) => {
-      shared.subtract_work(weight);
+      shared.subtract_sent_weight(weight);
       Reply::Problem(Problem::new(Code::RequestUpstreamUnreachable))
     }
     Err(Failure::Unknown) => Reply::Problem(Problem::new(Code::RequestOutcomeUnknown)),
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -55,7 +55,7 @@
   pub serving: AtomicBool,
   /// The total weight of the requests sent to the upstream, for measuring the imbalance between
   /// targets.
-  pub work: AtomicU64,
+  pub sent_weight: AtomicU64,
   /// The incarnation of this agent, drawn at random.
   pub incarnation: id::Incarnation,
   /// Whether the target is leaving: draining, without new flows.
@@ -123,7 +123,7 @@
       tagger: RwLock::default(),
       tunnel,
       waker: AtomicWaker::new(),
-      work: AtomicU64::new(0),
+      sent_weight: AtomicU64::new(0),
     })
   }
 
@@ -144,8 +144,8 @@
   }
 
   /// Adds the weight of a request that is sent to the upstream.
-  pub fn add_work(&self, weight: u32) {
-    self.work.fetch_add(weight.into(), Ordering::Relaxed);
+  pub fn add_sent_weight(&self, weight: u32) {
+    self.sent_weight.fetch_add(weight.into(), Ordering::Relaxed);
   }
 
   /// The targets, which may include this one, that may have been the key's home within the repeat
@@ -248,8 +248,8 @@
   }
 
   /// Subtracts the weight of a request that could not be sent to the upstream after all.
-  pub fn subtract_work(&self, weight: u32) {
-    self.work.fetch_sub(weight.into(), Ordering::Relaxed);
+  pub fn subtract_sent_weight(&self, weight: u32) {
+    self.sent_weight.fetch_sub(weight.into(), Ordering::Relaxed);
   }
 
   /// The repeat window of the service in force; the default window while there is none.
--- a/src/agent/slots.rs
+++ b/src/agent/slots.rs
@@ -9,7 +9,7 @@
 };
 
 /// The interval at which waiting requests are checked against their deadlines.
-const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The decision about a request: it starts, or the time after which it may be retried.
 type Admission = Result<(), Duration>;
@@ -96,7 +96,7 @@
   /// Refuses waiting requests once their deadline has passed; runs until it is cancelled.
   pub async fn expire_waiting(&self) {
     loop {
-      tokio::time::sleep(POLL_INTERVAL).await;
+      tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
       let mut inner = lock(&self.0);
       if inner.machine.size().1 > 0 {
         inner.step(Event::Tick);
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -454,7 +454,7 @@
         "revision": self.revision(),
         "running": running,
         "waiting": waiting,
-        "work": self.shared.work.load(Ordering::Relaxed),
+        "work": self.shared.sent_weight.load(Ordering::Relaxed),
         "version": Some(self.version).filter(|_| serving),
       }),
     );
--- a/src/ledger/settings.rs
+++ b/src/ledger/settings.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// The limits of a ledger.
+/// The limits of a ledger: an agent's record of idempotency keys, with the answers cached for them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
   /// The largest answer that is cached, in bytes.
--- a/src/routing/machine.rs
+++ b/src/routing/machine.rs
@@ -73,8 +73,8 @@
     }
   }
 
-  /// The first candidate of a key among the live targets of the current set that are not in
-  /// `except`; a flow that those can't open is redirected to it.
+  /// The target to use for a key in place of those in `except`: the first candidate among the other
+  /// live targets of the current set; none if there is no other.
   pub fn alternative(table: &Table, key: u64, except: &[id::Target]) -> Option<Hop> {
     table
       .current()
