--- a/src/datagram/agent/answers.rs
+++ b/src/datagram/agent/answers.rs
@@ -14,8 +14,9 @@
 };
 
 impl<C: Codec> Machine<C> {
-  /// Forwards a packet of the upstream to its caller. A bounced packet, and a reset of a flow that
-  /// is only under test, are reported to the balancer instead.
+  /// Forwards a packet of the upstream to its caller. Two kinds are reported to the balancer
+  /// instead: a bounced packet, and the reset of a flow while the agent tests whether the upstream
+  /// owns it.
   ///
   /// # Errors
   ///
@@ -32,7 +33,7 @@
       self.take_bounced(now, &head, packet, out);
       return Ok(());
     }
-    self.note_heard(now);
+    self.note_upstream_alive(now);
     if head.resets && self.is_under_test(&head.flow) {
       self.fail_test(now, head.flow, out);
       return Ok(());
@@ -58,8 +59,8 @@
     self.report_absent(now, flow, entry, &[], out);
   }
 
-  /// Records a sign of life of the upstream. One that was down until then may have restarted.
-  fn note_heard(&mut self, now: Instant) {
+  /// Records that the upstream has sent a packet. If it was down until then, it may have restarted.
+  fn note_upstream_alive(&mut self, now: Instant) {
     if self.work.note_heard(now) {
       self.suspect_restart(now);
     }
@@ -130,7 +131,7 @@
     out: &mut Outbox,
   ) {
     let flow = head.flow;
-    self.note_heard(now);
+    self.note_upstream_alive(now);
     let entry = self.flows.get(&flow).copied();
     if !head.opens && entry.is_some_and(|entry| entry.state == FlowState::Open) {
       // The upstream has lost a flow that it owned.
--- a/src/datagram/changelog.rs
+++ b/src/datagram/changelog.rs
@@ -45,7 +45,7 @@
     let delta = Delta {
       idle: configuration.idle,
       routes: routes.collect(),
-      version: configuration.version,
+      new_version: configuration.version,
       warmups: configuration.warmups.clone(),
     };
     Record::Delta {
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -12,9 +12,9 @@
   pub idle: Duration,
   /// The routes that changed; none for a removed one.
   pub routes: Vec<(SocketAddrV4, Option<Route>)>,
-  /// The version of the new configuration.
-  pub version: Version,
-  /// All warm-ups of the new configuration, by service.
+  /// The version of the configuration that results.
+  pub new_version: Version,
+  /// All warm-ups of that configuration, by service.
   pub warmups: BTreeMap<Service, Warmup>,
 }
 
@@ -31,7 +31,7 @@
     Configuration {
       idle: self.idle,
       routes,
-      version: self.version,
+      version: self.new_version,
       warmups: self.warmups,
     }
   }
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -95,9 +95,11 @@
   /// The longest life of a flow, hence how long after its start an agent may get packets of flows
   /// that it doesn't know.
   pub flow_lifetime: Duration,
-  /// The price of placing a flow in another data centre, in milliseconds of waiting.
+  /// The cost of a target for being in another data centre: when targets are compared, it counts as
+  /// much as this many milliseconds of waiting for the answer.
   pub crossing_ms: f64,
-  /// The further price for each kilobyte of a request and its answer, in milliseconds of waiting.
+  /// The cost that is added to `crossing_ms`, in the same unit, for each kilobyte of the target's
+  /// average request with its answer.
   pub crossing_ms_per_kb: f64,
   /// How long an opened flow counts as a request in flight before its first request arrives, at
   /// least.
