--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -5,7 +5,7 @@
     choosing::Choice,
     machine::{Machine, TARGETS_MAX},
     place::{Opening, Place, State, Tried},
-    queue::Lane,
+    queue::FlowClass,
   },
   crate::{
     Code,
@@ -196,10 +196,10 @@
     route.objective.as_secs_f64() * 1000.0 * factor
   }
 
-  /// The lane of the admission queue that a flow belongs to.
-  pub(super) fn lane(&self, flow: &Flow, service: &Service) -> Lane {
+  /// The class that a flow of this service is queued in.
+  pub(super) fn class(&self, flow: &Flow, service: &Service) -> FlowClass {
     let route = self.gossip.catalog().route(&flow.route);
-    Lane {
+    FlowClass {
       priority: route.map_or(u8::MAX, |route| route.priority),
       service: service.clone(),
     }
--- a/src/datagram/balancer/place.rs
+++ b/src/datagram/balancer/place.rs
@@ -1,5 +1,5 @@
 use {
-  super::queue::Lane,
+  super::queue::FlowClass,
   crate::datagram::{Codec, Head, service::Digest},
   smallvec::SmallVec,
   std::{net::SocketAddrV4, time::Instant},
@@ -37,7 +37,7 @@
   /// The target has accepted it, as far as this balancer knows.
   Open,
   /// The opening packet is in the admission queue.
-  Queued(Lane, Opening),
+  Queued(FlowClass, Opening),
   /// No agent owns it; it was reset.
   Dead,
 }
--- a/src/datagram/balancer/queue.rs
+++ b/src/datagram/balancer/queue.rs
@@ -15,10 +15,10 @@
   route: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
 };
 
-/// One part of the queue: flows of one service and one priority. Lanes of a service sort by
-/// priority, the highest first.
+/// The service and the priority of a flow: flows that have both in common are queued together.
+/// Classes sort by priority, the highest first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Lane {
+pub struct FlowClass {
   /// The priority of the flow's route; 0 is the highest.
   pub priority: u8,
   /// The service whose targets the flows wait for.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Queue {
   next_check: Instant,
-  queued: BTreeMap<Lane, BTreeSet<Queued>>,
+  queued: BTreeMap<FlowClass, BTreeSet<Queued>>,
 }
 
 impl Queue {
@@ -49,8 +49,9 @@
     (!self.queued.is_empty()).then_some(self.next_check)
   }
 
-  /// The lanes to be checked now, in order; empty until the deadline, which is then set anew.
-  pub fn due(&mut self, now: Instant) -> Vec<Lane> {
+  /// The classes with queued flows, the highest priority first, if the deadline has passed; it is
+  /// then set anew. Empty before it.
+  pub fn due(&mut self, now: Instant) -> Vec<FlowClass> {
     if self.deadline().is_none_or(|deadline| deadline > now) {
       return Vec::new();
     }
@@ -60,52 +61,52 @@
 
   /// Whether flows of a service are queued.
   pub fn has_flows(&self, service: &Service) -> bool {
-    self.queued.keys().any(|lane| lane.service == *service)
+    self.queued.keys().any(|class| class.service == *service)
   }
 
-  /// The lanes of a service that have queued flows, the highest priority first.
-  pub fn lanes(&self, service: &Service) -> Vec<Lane> {
-    let lanes = self.queued.keys().filter(|lane| lane.service == *service);
-    lanes.cloned().collect()
+  /// The classes of a service that have queued flows, the highest priority first.
+  pub fn classes(&self, service: &Service) -> Vec<FlowClass> {
+    let classes = self.queued.keys().filter(|class| class.service == *service);
+    classes.cloned().collect()
   }
 
   /// How many flows of a service are queued.
   pub fn len(&self, service: &Service) -> usize {
-    let lanes = self.queued.iter();
-    let lanes = lanes.filter(|(lane, _)| lane.service == *service);
-    lanes.map(|(_, queued)| queued.len()).sum()
+    let classes = self.queued.iter();
+    let classes = classes.filter(|(class, _)| class.service == *service);
+    classes.map(|(_, queued)| queued.len()).sum()
   }
 
-  /// The flow of a lane whose caller started last.
-  pub fn newest(&self, lane: &Lane) -> Option<Queued> {
-    self.queued.get(lane)?.last().copied()
+  /// The flow of a class whose caller started last.
+  pub fn newest(&self, class: &FlowClass) -> Option<Queued> {
+    self.queued.get(class)?.last().copied()
   }
 
-  /// The flow of a lane whose caller started first.
-  pub fn oldest(&self, lane: &Lane) -> Option<Queued> {
-    self.queued.get(lane)?.first().copied()
+  /// The flow of a class whose caller started first.
+  pub fn oldest(&self, class: &FlowClass) -> Option<Queued> {
+    self.queued.get(class)?.first().copied()
   }
 
-  /// The flow of a lane whose caller started first, at `since` or later.
-  pub fn oldest_since(&self, lane: &Lane, since: Instant) -> Option<Queued> {
-    let queued = self.queued.get(lane)?;
+  /// The flow of a class whose caller started first, at `since` or later.
+  pub fn oldest_since(&self, class: &FlowClass, since: Instant) -> Option<Queued> {
+    let queued = self.queued.get(class)?;
     queued.range((since, FIRST_FLOW)..).next().copied()
   }
 
   /// Adds a flow.
-  pub fn enqueue(&mut self, now: Instant, lane: &Lane, queued: Queued) {
+  pub fn enqueue(&mut self, now: Instant, class: &FlowClass, queued: Queued) {
     self.next_check = self.next_check.max(now);
-    self.queued.entry(lane.clone()).or_default().insert(queued);
+    self.queued.entry(class.clone()).or_default().insert(queued);
   }
 
-  /// Removes a flow, if it is in the lane.
-  pub fn remove(&mut self, lane: &Lane, queued: Queued) {
-    let Some(flows) = self.queued.get_mut(lane) else {
+  /// Removes a flow, if it is in the class.
+  pub fn remove(&mut self, class: &FlowClass, queued: Queued) {
+    let Some(flows) = self.queued.get_mut(class) else {
       return;
     };
     flows.remove(&queued);
     if flows.is_empty() {
-      self.queued.remove(lane);
+      self.queued.remove(class);
     }
   }
 
--- a/src/datagram/balancer/waiting.rs
+++ b/src/datagram/balancer/waiting.rs
@@ -5,7 +5,7 @@
     choosing::Choice,
     machine::Machine,
     place::{Opening, Place, State, Tried},
-    queue::{Lane, Queued},
+    queue::{FlowClass, Queued},
   },
   crate::{
     Code,
@@ -37,13 +37,13 @@
         ahead = self.queue.len(service);
         "balancer: flow is queued until a target can take it."
       );
-      let lane = self.lane(&flow, service);
-      self.queue.enqueue(now, &lane, (opening.first, flow));
+      let class = self.class(&flow, service);
+      self.queue.enqueue(now, &class, (opening.first, flow));
       let place = Place {
         agent: self.gossip.address(),
         last_packet: now,
         service: service.digest(),
-        state: State::Queued(lane, opening),
+        state: State::Queued(class, opening),
       };
       self.flows.insert(flow, place);
       return Ok(());
@@ -86,38 +86,38 @@
 
   /// Sends queued flows to targets that can take them, the highest priority first.
   pub(super) fn place_queued(&mut self, now: Instant, out: &mut Outbox) {
-    for lane in self.queue.due(now) {
-      self.expire_queued(now, &lane, out);
-      while let Some((queued, choice)) = self.next_queued(now, &lane) {
-        let _ = self.send_queued(now, &lane, queued, choice, out);
+    for class in self.queue.due(now) {
+      self.expire_queued(now, &class, out);
+      while let Some((queued, choice)) = self.next_queued(now, &class) {
+        let _ = self.send_queued(now, &class, queued, choice, out);
       }
-      self.announce(now, &lane.service, out);
+      self.announce(now, &class.service, out);
     }
   }
 
-  /// The next flow of a lane to be sent, with its target; none if it would wait too long at every
+  /// The next flow of a class to be sent, with its target; none if it would wait too long at every
   /// target.
-  fn next_queued(&self, now: Instant, lane: &Lane) -> Option<(Queued, Choice)> {
-    let (_, newest) = self.queue.newest(lane)?;
-    let choice = self.choose(now, &newest, &lane.service, &Tried::new())?;
-    let queued = self.most_urgent(now, lane, &choice)?;
+  fn next_queued(&self, now: Instant, class: &FlowClass) -> Option<(Queued, Choice)> {
+    let (_, newest) = self.queue.newest(class)?;
+    let choice = self.choose(now, &newest, &class.service, &Tried::new())?;
+    let queued = self.most_urgent(now, class, &choice)?;
     let (first, flow) = queued;
     let waited_ms = now.saturating_duration_since(first).as_secs_f64() * 1000.0;
     let is_soon =
-      choice.is_free || !self.is_too_long(&flow, &lane.service, choice.wait_ms + waited_ms);
+      choice.is_free || !self.is_too_long(&flow, &class.service, choice.wait_ms + waited_ms);
     is_soon.then_some((queued, choice))
   }
 
-  /// The flow of a lane to be sent to a target first: the newest if it is answered in time there.
+  /// The flow of a class to be sent to a target first: the newest if it is answered in time there.
   /// Otherwise all are late, and it is the oldest one whose caller is certain to be still waiting,
   /// or else the newest.
-  fn most_urgent(&self, now: Instant, lane: &Lane, choice: &Choice) -> Option<Queued> {
-    let newest = self.queue.newest(lane)?;
+  fn most_urgent(&self, now: Instant, class: &FlowClass, choice: &Choice) -> Option<Queued> {
+    let newest = self.queue.newest(class)?;
     if self.is_in_time(now, newest, choice) {
       return Some(newest);
     }
     let since = now.checked_sub(C::last_attempt_until()).unwrap_or(now);
-    self.queue.oldest_since(lane, since).or(Some(newest))
+    self.queue.oldest_since(class, since).or(Some(newest))
   }
 
   /// Whether a flow would be answered within its route's objective, counted from when the caller
@@ -135,13 +135,13 @@
   fn send_queued(
     &mut self,
     now: Instant,
-    lane: &Lane,
+    class: &FlowClass,
     queued: Queued,
     choice: Choice,
     out: &mut Outbox,
   ) -> bool {
     let (_, flow) = queued;
-    self.queue.remove(lane, queued);
+    self.queue.remove(class, queued);
     let Some(opening) = self.queued_opening(&flow).cloned() else {
       return false;
     };
@@ -149,7 +149,7 @@
       self.give_up(now, &flow, &opening, out);
       return false;
     };
-    if !route.backends.takes(&lane.service) {
+    if !route.backends.takes(&class.service) {
       if let Err(code) = self.place(now, flow, opening, out) {
         self.counter.count(code);
       }
@@ -157,7 +157,7 @@
     }
     let waited = now.saturating_duration_since(opening.received);
     self.counter.observe("wait", waited);
-    self.send_to(now, flow, &lane.service, opening, choice, out);
+    self.send_to(now, flow, &class.service, opening, choice, out);
     true
   }
 
@@ -199,10 +199,10 @@
       is_granted: true,
       ..choice
     };
-    for lane in self.queue.lanes(service) {
-      self.expire_queued(now, &lane, out);
-      while let Some(queued) = self.most_urgent(now, &lane, &choice) {
-        if self.send_queued(now, &lane, queued, choice, out) {
+    for class in self.queue.classes(service) {
+      self.expire_queued(now, &class, out);
+      while let Some(queued) = self.most_urgent(now, &class, &choice) {
+        if self.send_queued(now, &class, queued, choice, out) {
           return true;
         }
       }
@@ -240,28 +240,28 @@
   /// Removes a flow from the queue.
   pub(super) fn dequeue(&mut self, flow: &Flow) {
     if let Some(Place {
-      state: State::Queued(lane, opening),
+      state: State::Queued(class, opening),
       ..
     }) = self.flows.get(flow)
     {
-      self.queue.remove(lane, (opening.first, *flow));
+      self.queue.remove(class, (opening.first, *flow));
     }
   }
 
   /// Gives up flows whose callers would give up before an answer reached them, and all flows of a
   /// service whose data centres are all closed.
-  fn expire_queued(&mut self, now: Instant, lane: &Lane, out: &mut Outbox) {
-    let ttl = if self.targets.all_closed(now, &lane.service) {
+  fn expire_queued(&mut self, now: Instant, class: &FlowClass, out: &mut Outbox) {
+    let ttl = if self.targets.all_closed(now, &class.service) {
       Duration::ZERO
     } else {
       C::CONNECT_TIMEOUT.saturating_sub(ANSWER_LATENCY_MAX)
     };
-    while let Some(queued) = self.queue.oldest(lane) {
+    while let Some(queued) = self.queue.oldest(class) {
       let (first, flow) = queued;
       if now < first + ttl {
         return;
       }
-      self.queue.remove(lane, queued);
+      self.queue.remove(class, queued);
       let Some(opening) = self.queued_opening(&flow).cloned() else {
         continue;
       };
