--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -9,7 +9,7 @@
     Code, Revision,
     datagram::{
       Codec, Flow, Frame, Outbox, Upstream, Via,
-      frame::{Known, Purpose, Refusal},
+      frame::{Handling, Known, Refusal},
       service::Digest,
     },
   },
@@ -122,7 +122,7 @@
     entry.asker_revision = packet.synced;
     entry.balancer = Some(packet.balancer);
     let is_tested = matches!(entry.state, FlowState::Tested { .. });
-    if is_tested && packet.purpose == Purpose::Test {
+    if is_tested && packet.handling == Handling::Test {
       // One packet is enough for a test.
       return;
     }
@@ -140,7 +140,7 @@
       }
       entry.requests_ahead = self.work.in_flight() - 1;
     }
-    if packet.purpose == Purpose::Test {
+    if packet.handling == Handling::Test {
       out.frame(packet.balancer, &found_frame(flow, &self.upstream), &[]);
     }
     out.packet(Via::Upstream, self.upstream.address, packet.bytes);
@@ -234,7 +234,7 @@
     self.tests.push_back((deadline, flow));
     let state = FlowState::Tested {
       deadline,
-      returns_packet: packet.purpose == Purpose::Deliver,
+      returns_packet: packet.handling == Handling::Deliver,
     };
     let entry = self
       .flows
@@ -273,7 +273,7 @@
     out: &mut Outbox,
   ) {
     let flow = packet.head.flow;
-    if packet.purpose == Purpose::Open {
+    if packet.handling == Handling::Open {
       let load = self.load(now);
       log::info!(
         flow:% = flow, reason:? = refusal, work = load.work, service_ms = load.service_ms,
@@ -346,9 +346,9 @@
 /// Reports to the balancer that the upstream does not own a flow. A packet that was to be delivered
 /// is returned with the report.
 fn send_absent(packet: &CallerPacket, known: Known, out: &mut Outbox) {
-  let returned = match packet.purpose {
-    Purpose::Deliver => packet.bytes,
-    Purpose::Open | Purpose::Test => &[],
+  let returned = match packet.handling {
+    Handling::Deliver => packet.bytes,
+    Handling::Open | Handling::Test => &[],
   };
   let frame = Frame::Absent {
     flows: vec![packet.head.flow],
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -12,7 +12,7 @@
     datagram::{
       Change, Codec, Flow, Frame, Gossip, Handover, Head, Load, Origin, Outbox, Settings, Timeout,
       Tuning, Update, Upstream, Version, event,
-      frame::{Purpose, Role},
+      frame::{Handling, Role},
       target::StartTime,
     },
   },
@@ -46,7 +46,8 @@
   /// The revision up to which the balancer knows the target list.
   pub(super) synced: Revision,
   pub(super) head: Head,
-  pub(super) purpose: Purpose,
+  /// What the agent is to do with the packet.
+  pub(super) handling: Handling,
   /// The version of the balancer's configuration.
   pub(super) version: Version,
 }
@@ -168,11 +169,11 @@
       Frame::Backlog { flows, service } => self.set_backlog(now, from, flows, service),
       Frame::Carry {
         synced,
-        purpose,
+        handling,
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, purpose, synced, version)?;
+        let packet = self.read_caller_packet(from, packet, handling, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
       Frame::FanOut {
@@ -180,7 +181,7 @@
         synced,
         version,
       } => {
-        let packet = self.read_caller_packet(from, packet, Purpose::Test, synced, version)?;
+        let packet = self.read_caller_packet(from, packet, Handling::Test, synced, version)?;
         self.fan_out(now, &packet, &agents, out)
       }
       Frame::Test {
@@ -189,7 +190,7 @@
         service,
         version,
       } => {
-        let packet = self.read_caller_packet(balancer, packet, Purpose::Test, synced, version)?;
+        let packet = self.read_caller_packet(balancer, packet, Handling::Test, synced, version)?;
         self.take_caller_packet(now, &packet, service, out)
       }
       Frame::Handover { flows, part, parts } => {
@@ -217,7 +218,7 @@
     &self,
     balancer: SocketAddrV4,
     bytes: &'a [u8],
-    purpose: Purpose,
+    handling: Handling,
     synced: Revision,
     version: Version,
   ) -> Result<CallerPacket<'a>, Code> {
@@ -226,7 +227,7 @@
       bytes,
       synced,
       head: self.codec.read_from_caller(bytes)?,
-      purpose,
+      handling,
       version,
     })
   }
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -11,7 +11,7 @@
     Code,
     datagram::{
       Codec, Flow, Head, Outbox, Service, Weight,
-      frame::{Purpose, Refusal},
+      frame::{Handling, Refusal},
     },
   },
   std::{net::SocketAddrV4, time::Instant},
@@ -44,13 +44,13 @@
         State::Open => {
           // The target's answer to the caller was lost or is still on its way.
           place.last_packet = now;
-          self.carry(agent, Purpose::Open, service, packet, out);
+          self.carry(agent, Handling::Open, service, packet, out);
           return Ok(());
         }
         State::Opening(before) if now < before.deadline => {
           // The target may still answer, or its answer to the caller was lost.
           before.may_be_open = true;
-          self.carry(agent, Purpose::Open, service, packet, out);
+          self.carry(agent, Handling::Open, service, packet, out);
           return Ok(());
         }
         State::Opening(before) => opening.tried = std::mem::take(&mut before.tried),
@@ -158,7 +158,7 @@
     self.targets.count_opening(agent);
     self.opening_deadlines.insert((opening.deadline, flow));
     let service = service.digest();
-    self.carry(agent, Purpose::Open, service, &opening.packet, out);
+    self.carry(agent, Handling::Open, service, &opening.packet, out);
     let place = Place {
       agent,
       last_packet: now,
--- a/src/datagram/balancer/packets.rs
+++ b/src/datagram/balancer/packets.rs
@@ -4,7 +4,7 @@
   super::{egress::QueuedPacket, machine::Machine, place::State},
   crate::{
     Code,
-    datagram::{Codec, Flow, Frame, Head, Outbox, Via, frame::Purpose, service::Digest},
+    datagram::{Codec, Flow, Frame, Head, Outbox, Via, frame::Handling, service::Digest},
   },
   std::{
     net::SocketAddrV4,
@@ -62,7 +62,7 @@
         let (agent, service) = (place.agent, place.service);
         let is_restarting = self.restarts.is_restarting(now, agent);
         if !is_restarting || !self.restarts.buffer(agent, *head, packet) {
-          self.carry(agent, Purpose::Deliver, service, packet, out);
+          self.carry(agent, Handling::Deliver, service, packet, out);
         }
       }
       None => self.search(now, head, packet, None),
@@ -116,14 +116,14 @@
   pub(super) fn carry(
     &self,
     agent: SocketAddrV4,
-    purpose: Purpose,
+    handling: Handling,
     service: Digest,
     packet: &[u8],
     out: &mut Outbox,
   ) {
     let frame = Frame::Carry {
       synced: self.gossip.catalog().synced(),
-      purpose,
+      handling,
       service,
       version: self.gossip.catalog().version(),
     };
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -11,7 +11,7 @@
     Code,
     datagram::{
       Codec, Flow, Head, Outbox, Service,
-      frame::{Known, Purpose},
+      frame::{Handling, Known},
       service::Digest,
     },
   },
@@ -227,7 +227,7 @@
       let head = self.codec.read_from_caller(packet).ok();
       let head = head.filter(|head| self.egress.is_paced(head));
       if head.is_none_or(|head| !self.egress.push(head, packet)) {
-        self.carry(from, Purpose::Deliver, service, packet, out);
+        self.carry(from, Handling::Deliver, service, packet, out);
       }
     }
   }
--- a/src/datagram/balancer/testing.rs
+++ b/src/datagram/balancer/testing.rs
@@ -4,7 +4,7 @@
   super::machine::Machine,
   crate::datagram::{
     Codec, Flow, Frame, Outbox,
-    frame::{Purpose, fan_out_max},
+    frame::{Handling, fan_out_max},
     service::Digest,
   },
   std::{
@@ -78,7 +78,7 @@
   ) {
     if let [(agent, service)] = agents {
       self.queries.charge(now);
-      self.carry(*agent, Purpose::Test, *service, packet, out);
+      self.carry(*agent, Handling::Test, *service, packet, out);
       return;
     }
     for agents in agents.chunks(fan_out_max(packet.len())) {
--- a/src/datagram/frame.rs
+++ b/src/datagram/frame.rs
@@ -30,7 +30,7 @@
 
 /// What an agent is to do with a caller's packet from a balancer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Purpose {
+pub enum Handling {
   /// Deliver the packet; the agent is known to own the flow.
   Deliver,
   /// Open the flow.
@@ -150,7 +150,7 @@
     /// The revision up to which the sender's catalog is complete.
     synced: Revision,
     /// What the agent is to do with it.
-    purpose: Purpose,
+    handling: Handling,
     /// The service that the packet is meant for.
     service: Digest,
     /// The version of the configuration that the sender applies.
--- a/tests/datagram/agent.rs
+++ b/tests/datagram/agent.rs
@@ -15,7 +15,7 @@
     config::Presence,
     datagram::{
       Event, Flow, Frame, Load, Machine, Service, Version, agent,
-      frame::{Known, Purpose, Refusal},
+      frame::{Handling, Known, Refusal},
     },
   },
   std::time::Duration,
@@ -31,18 +31,18 @@
 /// The revision of the target list that the agents of these tests receive.
 const KNOWN: Revision = Revision(2);
 
-fn carry(purpose: Purpose, service: &str, version: u64) -> Frame {
+fn carry(handling: Handling, service: &str, version: u64) -> Frame {
   let service = service.parse::<Service>().expect("a name");
   Frame::Carry {
     synced: KNOWN,
-    purpose,
+    handling,
     service: service.digest(),
     version: Version(version),
   }
 }
 
-fn deliver(agent: &mut Agent, purpose: Purpose, packet: Packet) -> Vec<Sent> {
-  agent.frame(BALANCER, &carry(purpose, "a", 1), &packet.write())
+fn deliver(agent: &mut Agent, handling: Handling, packet: Packet) -> Vec<Sent> {
+  agent.frame(BALANCER, &carry(handling, "a", 1), &packet.write())
 }
 
 /// An agent that has the target list, and whose upstream has opened a flow with sequence number
@@ -50,10 +50,10 @@
 fn with_flow(first_start: bool) -> (Agent, Flow) {
   let mut agent = agent_of(first_start);
   let flow = flow(40_001, 1);
-  let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  let sent = deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   assert_eq!(sent, [Sent::Upstream(Packet::open(flow, 0))]);
   agent.packet(Packet::answer(flow, 100));
-  let sent = deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 2, 101));
+  let sent = deliver(&mut agent, Handling::Deliver, Packet::data(flow, 2, 101));
   assert_eq!(sent, [Sent::Upstream(Packet::data(flow, 2, 101))]);
   (agent, flow)
 }
@@ -79,7 +79,7 @@
 fn the_upstreams_answer_opens_the_flow_and_goes_to_the_caller() {
   let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::answer(flow, 100));
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(opened, _), _) if *opened == flow);
   assert_eq!(sent[1], Sent::Caller(Packet::answer(flow, 100)));
@@ -89,9 +89,9 @@
 fn a_flow_that_another_target_opened_is_absent() {
   let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
-  let sent = deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 2, 777));
+  let sent = deliver(&mut agent, Handling::Deliver, Packet::data(flow, 2, 777));
   assert!(is_sent(&sent, &absent(flow, NOTHING)), "{sent:?}");
   assert!(!sent.iter().any(|sent| matches!(sent, Sent::Upstream(_))));
 }
@@ -99,12 +99,12 @@
 #[test]
 fn a_packet_of_another_service_never_reaches_the_upstream() {
   let mut agent = Harness::agent(9, "a", false);
-  for purpose in [Purpose::Deliver, Purpose::Open, Purpose::Test] {
+  for handling in [Handling::Deliver, Handling::Open, Handling::Test] {
     for packet in [
       Packet::open(flow(40_001, 1), 0),
       Packet::data(flow(40_001, 1), 2, 3),
     ] {
-      let sent = agent.frame(BALANCER, &carry(purpose, "b", 1), &packet.write());
+      let sent = agent.frame(BALANCER, &carry(handling, "b", 1), &packet.write());
       assert!(!sent.iter().any(|sent| matches!(sent, Sent::Upstream(_))));
     }
   }
@@ -118,13 +118,13 @@
     3,
     &[listed(3, "up", 9, "a", Presence::Leaving)],
   ));
-  let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
+  let sent = deliver(&mut agent, Handling::Open, Packet::open(flow(40_002, 1), 0));
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Refused(_, Refusal::Leaving, _), _)]
   );
   // Packets of its open flow are still delivered.
-  let sent = deliver(&mut agent, Purpose::Deliver, Packet::data(open, 3, 101));
+  let sent = deliver(&mut agent, Handling::Deliver, Packet::data(open, 3, 101));
   assert_eq!(sent, [Sent::Upstream(Packet::data(open, 3, 101))]);
 }
 
@@ -132,7 +132,7 @@
 fn an_upstream_that_was_removed_from_the_list_gets_no_opening_packet() {
   let (mut agent, _) = with_flow(true);
   agent.platform(update(Some(2), 3, &[unlisted(3, "up")]));
-  let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
+  let sent = deliver(&mut agent, Handling::Open, Packet::open(flow(40_002, 1), 0));
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Refused(_, Refusal::Leaving, _), _)]
@@ -143,7 +143,7 @@
 fn an_opening_packet_for_a_route_without_the_service_is_dropped() {
   let (mut agent, _) = with_flow(true);
   agent.platform(update(Some(2), 3, &[configured(3, 2, &[])]));
-  let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
+  let sent = deliver(&mut agent, Handling::Open, Packet::open(flow(40_002, 1), 0));
   assert_eq!(sent, []);
 }
 
@@ -152,10 +152,10 @@
   let (mut agent, _) = with_flow(true);
   let other = flow(40_002, 1);
   let packet = Packet::data(other, 5, 6);
-  let sent = deliver(&mut agent, Purpose::Test, packet);
+  let sent = deliver(&mut agent, Handling::Test, packet);
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, KNOWN), vec![])]);
   // A packet that was to be delivered is returned.
-  let sent = deliver(&mut agent, Purpose::Deliver, packet);
+  let sent = deliver(&mut agent, Handling::Deliver, packet);
   let back = packet.write();
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, KNOWN), back)]);
 }
@@ -165,14 +165,14 @@
   let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
   let packet = Packet::data(flow, 5, 6);
-  let sent = deliver(&mut agent, Purpose::Test, packet);
+  let sent = deliver(&mut agent, Handling::Test, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
   // One packet is enough for a test.
-  assert_eq!(deliver(&mut agent, Purpose::Test, packet), []);
+  assert_eq!(deliver(&mut agent, Handling::Test, packet), []);
   let sent = agent.packet(packet.returned());
   assert_eq!(sent, [Sent::Frame(peer(1), absent(flow, NOTHING), vec![])]);
   // The upstream is given no more packets of the flow, since it counts each as a stray.
-  let sent = deliver(&mut agent, Purpose::Test, packet);
+  let sent = deliver(&mut agent, Handling::Test, packet);
   assert_eq!(sent, [Sent::Frame(peer(1), absent(flow, NOTHING), vec![])]);
 }
 
@@ -212,7 +212,7 @@
 fn a_flow_whose_answer_was_acknowledged_is_found_before_its_first_packet() {
   let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
   let sent = query(&mut agent, &[flow], 101, "a");
   assert!(is_sent(&sent, &found(flow)), "{sent:?}");
@@ -270,7 +270,7 @@
   let sent = query(&mut agent, &[flow], 6, "a");
   assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
   // It answers once the test has ended.
-  deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
+  deliver(&mut agent, Handling::Test, Packet::data(flow, 5, 6));
   assert_eq!(query(&mut agent, &[flow], 6, "a"), []);
   agent.packet(Packet::data(flow, 5, 6).returned());
   let sent = query(&mut agent, &[flow], 6, "a");
@@ -288,7 +288,7 @@
 fn a_flow_whose_test_packet_is_not_bounced_is_found() {
   let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Test, Packet::data(flow, 5, 6));
+  deliver(&mut agent, Handling::Test, Packet::data(flow, 5, 6));
   let sent = agent.pass(Duration::from_millis(100));
   assert!(is_sent(&sent, &found(flow)), "{sent:?}");
 }
@@ -297,7 +297,7 @@
 fn a_flow_that_the_upstream_has_lost_is_reported_lost_with_its_packet() {
   let (mut agent, flow) = with_flow(true);
   let packet = Packet::data(flow, 3, 101);
-  deliver(&mut agent, Purpose::Deliver, packet);
+  deliver(&mut agent, Handling::Deliver, packet);
   let sent = agent.packet(packet.returned());
   let back = packet.write();
   let lost = Frame::Absent {
@@ -315,7 +315,7 @@
 fn a_flow_whose_opening_packet_is_bounced_is_refused() {
   let mut agent = Harness::agent(9, "a", true);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   let sent = agent.packet(Packet::open(flow, 0).returned());
   assert_matches!(
     &sent[..],
@@ -329,7 +329,7 @@
   let mut refused = 0;
   for port in 0..40 {
     let packet = Packet::open(flow(41_000 + port, 1), 0);
-    let sent = deliver(&mut agent, Purpose::Open, packet);
+    let sent = deliver(&mut agent, Handling::Open, packet);
     let busy = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Refused(_, Refusal::Busy, _), _));
     refused += usize::from(sent.iter().any(busy));
   }
@@ -358,13 +358,13 @@
 fn a_flow_that_opens_during_shutdown_is_handed_over() {
   let (mut before, _) = with_flow(true);
   let late = crate::support::flow(40_002, 1);
-  deliver(&mut before, Purpose::Open, Packet::open(late, 0));
+  deliver(&mut before, Handling::Open, Packet::open(late, 0));
   before.packet(Packet::answer(late, 300));
   before.step(Event::Stop);
-  deliver(&mut before, Purpose::Deliver, Packet::data(late, 2, 301));
+  deliver(&mut before, Handling::Deliver, Packet::data(late, 2, 301));
   let mut next = restart(&mut before);
   let packet = Packet::data(late, 3, 311);
-  let sent = deliver(&mut next, Purpose::Deliver, packet);
+  let sent = deliver(&mut next, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
@@ -372,12 +372,12 @@
 fn an_answered_flow_is_handed_over_and_opens_at_the_next_incarnation() {
   let (mut before, _) = with_flow(true);
   let unconfirmed = crate::support::flow(40_002, 1);
-  deliver(&mut before, Purpose::Open, Packet::open(unconfirmed, 0));
+  deliver(&mut before, Handling::Open, Packet::open(unconfirmed, 0));
   before.packet(Packet::answer(unconfirmed, 300));
   let mut next = restart(&mut before);
   let elsewhere = deliver(
     &mut next,
-    Purpose::Deliver,
+    Handling::Deliver,
     Packet::data(unconfirmed, 2, 777),
   );
   assert!(
@@ -385,7 +385,7 @@
     "{elsewhere:?}"
   );
   let packet = Packet::data(unconfirmed, 2, 301);
-  let sent = deliver(&mut next, Purpose::Deliver, packet);
+  let sent = deliver(&mut next, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
@@ -395,14 +395,14 @@
   before.step(Event::Stop);
   let final_frames = before.step(Event::End);
   let mut next = Harness::agent(9, "a", false);
-  deliver(&mut next, Purpose::Open, Packet::open(flow, 1));
+  deliver(&mut next, Handling::Open, Packet::open(flow, 1));
   for sent in final_frames {
     if let Sent::Frame(_, frame @ Frame::Handover { .. }, _) = sent {
       next.frame(BALANCER, &frame, &[]);
     }
   }
   let packet = Packet::data(flow, 3, 111);
-  let sent = deliver(&mut next, Purpose::Deliver, packet);
+  let sent = deliver(&mut next, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
@@ -411,7 +411,7 @@
   let (mut before, flow) = with_flow(false);
   let mut next = restart(&mut before);
   let packet = Packet::data(flow, 3, 111);
-  let sent = deliver(&mut next, Purpose::Deliver, packet);
+  let sent = deliver(&mut next, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
   let other = crate::support::flow(40_002, 1);
   let sent = query(&mut next, &[other], 6, "a");
@@ -421,23 +421,23 @@
 #[test]
 fn a_late_opening_retransmission_leaves_its_flow_open() {
   let (mut agent, flow) = with_flow(true);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 2));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 2));
   agent.packet(Packet::answer(flow, 100));
   // The caller acknowledges a later answer.
   let packet = Packet::data(flow, 3, 111);
-  let sent = deliver(&mut agent, Purpose::Deliver, packet);
+  let sent = deliver(&mut agent, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
 #[test]
 fn a_bounced_opening_retransmission_leaves_its_flow_open() {
   let (mut agent, flow) = with_flow(true);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 2));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 2));
   let sent = agent.packet(Packet::open(flow, 2).returned());
   let refused = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Refused(..), _));
   assert!(!sent.iter().any(refused), "{sent:?}");
   let packet = Packet::data(flow, 3, 111);
-  let sent = deliver(&mut agent, Purpose::Deliver, packet);
+  let sent = deliver(&mut agent, Handling::Deliver, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
 }
 
@@ -446,11 +446,11 @@
   let (mut before, flow) = with_flow(true);
   let mut next = restart(&mut before);
   let packet = Packet::data(flow, 3, 101);
-  let sent = deliver(&mut next, Purpose::Test, packet);
+  let sent = deliver(&mut next, Handling::Test, packet);
   assert!(is_sent(&sent, &found(flow)), "{sent:?}");
   // All flows are known: another flow is reported absent without a test.
   let other = crate::support::flow(40_002, 1);
-  let sent = deliver(&mut next, Purpose::Test, Packet::data(other, 5, 6));
+  let sent = deliver(&mut next, Handling::Test, Packet::data(other, 5, 6));
   assert_eq!(sent, [Sent::Frame(peer(1), absent(other, NOTHING), vec![])]);
 }
 
@@ -479,7 +479,7 @@
 fn a_stopping_agent_takes_no_new_flow() {
   let (mut agent, _) = with_flow(true);
   agent.step(Event::Stop);
-  let sent = deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
+  let sent = deliver(&mut agent, Handling::Open, Packet::open(flow(40_002, 1), 0));
   assert_matches!(
     &sent[..],
     [Sent::Frame(_, Frame::Refused(_, Refusal::Leaving, _), _)]
@@ -493,7 +493,7 @@
   agent.packet(Packet::data(flow, 101, 2));
   let reported_ms = |agent: &mut Agent| {
     let other = crate::support::flow(40_002, 1);
-    deliver(agent, Purpose::Open, Packet::open(other, 0));
+    deliver(agent, Handling::Open, Packet::open(other, 0));
     let sent = agent.packet(Packet::answer(other, 500));
     let Some(Sent::Frame(_, Frame::Opened(_, load), _)) = sent.first() else {
       panic!("{sent:?}");
@@ -512,17 +512,17 @@
     agent.now += Duration::from_millis(10);
     deliver(
       &mut agent,
-      Purpose::Deliver,
+      Handling::Deliver,
       Packet::data(flow, sequence, 101),
     );
   }
   agent.now += Duration::from_millis(5);
   // A retransmission changes nothing.
-  deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 20, 101));
+  deliver(&mut agent, Handling::Deliver, Packet::data(flow, 20, 101));
   agent.now += Duration::from_millis(2);
   agent.packet(Packet::data(flow, 101, 50));
   let other = crate::support::flow(40_002, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(other, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(other, 0));
   let sent = agent.packet(Packet::answer(other, 500));
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.service_ms == 7);
 }
@@ -532,10 +532,10 @@
   let (mut agent, flow) = with_flow(true);
   agent.packet(Packet::data(flow, 101, 2));
   for _ in 0..10 {
-    deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 2, 101));
+    deliver(&mut agent, Handling::Deliver, Packet::data(flow, 2, 101));
   }
   let other = crate::support::flow(40_002, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(other, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(other, 0));
   let sent = agent.packet(Packet::answer(other, 500));
   // Only the new flow's expected request counts.
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.work == 1);
@@ -545,13 +545,13 @@
 fn a_flow_without_a_request_counts_as_work_for_a_limited_time() {
   let mut agent = Harness::agent(9, "a", true);
   let opened = agent.now;
-  deliver(&mut agent, Purpose::Open, Packet::open(flow(40_001, 1), 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow(40_001, 1), 0));
   agent.packet(Packet::answer(flow(40_001, 1), 100));
   // Once the load has been reported, nothing else is due sooner.
   agent.pass(Duration::from_millis(120));
   assert!(agent.machine.deadline() <= opened + Duration::from_millis(300));
   agent.pass(Duration::from_millis(180));
-  deliver(&mut agent, Purpose::Open, Packet::open(flow(40_002, 1), 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow(40_002, 1), 0));
   let sent = agent.packet(Packet::answer(flow(40_002, 1), 500));
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.work == 1);
 }
@@ -562,15 +562,15 @@
   let mut agent = Harness::agent(9, "a", false);
   let flows = [1, 2, 3].map(|port| flow(port, 1));
   for flow in flows {
-    deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+    deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
     agent.packet(Packet::answer(flow, 100));
-    deliver(&mut agent, Purpose::Deliver, Packet::data(flow, 2, 101));
+    deliver(&mut agent, Handling::Deliver, Packet::data(flow, 2, 101));
   }
   agent.now += Duration::from_millis(60);
   for flow in flows {
     agent.packet(Packet::data(flow, 101, 3));
   }
-  deliver(&mut agent, Purpose::Open, Packet::open(flow(4, 1), 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow(4, 1), 0));
   let sent = agent.packet(Packet::answer(flow(4, 1), 100));
   // With one slot assumed, the third would count as queued behind the others, at 20 ms.
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.service_ms == 0);
@@ -580,18 +580,18 @@
 fn the_timeout_of_a_first_request_adapts_to_callers() {
   let (mut agent, _) = with_flow(true);
   for port in 1..=40 {
-    deliver(&mut agent, Purpose::Open, Packet::open(flow(port, 1), 0));
+    deliver(&mut agent, Handling::Open, Packet::open(flow(port, 1), 0));
     agent.packet(Packet::answer(flow(port, 1), 100));
     agent.pass(Duration::from_millis(10));
     deliver(
       &mut agent,
-      Purpose::Deliver,
+      Handling::Deliver,
       Packet::data(flow(port, 1), 2, 101),
     );
     agent.packet(Packet::data(flow(port, 1), 101, 3));
   }
   let work = |agent: &mut Agent, port| {
-    deliver(agent, Purpose::Open, Packet::open(flow(port, 1), 0));
+    deliver(agent, Handling::Open, Packet::open(flow(port, 1), 0));
     let sent = agent.packet(Packet::answer(flow(port, 1), 100));
     let Some(Sent::Frame(_, Frame::Opened(_, load), _)) = sent.first() else {
       panic!("{sent:?}");
@@ -611,14 +611,14 @@
 fn a_late_opening_packet_does_not_hide_a_flow_of_the_previous_incarnation() {
   let mut agent = agent_of(false);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
   // The caller has acknowledged another answer: of this upstream before the agent restarted, or of
   // another target.
   let sent = query(&mut agent, &[flow], 501, "a");
   assert!(is_sent(&sent, &unsure(flow)), "{sent:?}");
   let packet = Packet::data(flow, 2, 501);
-  let sent = deliver(&mut agent, Purpose::Test, packet);
+  let sent = deliver(&mut agent, Handling::Test, packet);
   assert_eq!(sent, [Sent::Upstream(packet)]);
   let sent = agent.pass(Duration::from_millis(31));
   assert!(is_sent(&sent, &found(flow)), "{sent:?}");
@@ -628,13 +628,13 @@
 fn a_flow_that_fails_a_test_while_it_opens_no_longer_counts_as_work() {
   let mut agent = Harness::agent(9, "a", false);
   let flow = flow(40_001, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(flow, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(flow, 0));
   agent.packet(Packet::answer(flow, 100));
   let packet = Packet::data(flow, 2, 501);
-  deliver(&mut agent, Purpose::Test, packet);
+  deliver(&mut agent, Handling::Test, packet);
   agent.packet(packet.returned());
   let other = crate::support::flow(40_002, 1);
-  deliver(&mut agent, Purpose::Open, Packet::open(other, 0));
+  deliver(&mut agent, Handling::Open, Packet::open(other, 0));
   let sent = agent.packet(Packet::answer(other, 100));
   assert_matches!(&sent[0], Sent::Frame(_, Frame::Opened(_, load), _) if load.work == 1);
 }
@@ -650,7 +650,7 @@
 
 /// Opens a flow and sends a request in it; false where the agent refuses the flow.
 fn request_in_new_flow(agent: &mut Agent, flow: Flow) -> bool {
-  let sent = deliver(agent, Purpose::Open, Packet::open(flow, 0));
+  let sent = deliver(agent, Handling::Open, Packet::open(flow, 0));
   if is_sent(
     &sent,
     &Frame::Refused(flow, Refusal::Down, refused_load(&sent)),
@@ -658,7 +658,7 @@
     return false;
   }
   agent.packet(Packet::answer(flow, 100));
-  deliver(agent, Purpose::Deliver, Packet::data(flow, 2, 101));
+  deliver(agent, Handling::Deliver, Packet::data(flow, 2, 101));
   true
 }
 
--- a/tests/datagram/balancer.rs
+++ b/tests/datagram/balancer.rs
@@ -11,7 +11,7 @@
     config::Presence,
     datagram::{
       Frame, Load,
-      frame::{Purpose, Refusal},
+      frame::{Handling, Refusal},
     },
   },
   std::time::Duration,
@@ -22,7 +22,7 @@
   let mut balancer = balancer();
   feed_status(&mut balancer, 11, 1, busy(4));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_eq!(carried(&sent), [(12, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(12, Handling::Open)]);
 }
 
 #[test]
@@ -33,7 +33,7 @@
   balancer.frame(host, &Frame::Opened(flow(1, 1), Load::default()), &[]);
   feed_status(&mut balancer, host, 1, busy(9));
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
-  assert_eq!(carried(&sent), [(host, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(host, Handling::Deliver)]);
 }
 
 #[test]
@@ -42,7 +42,7 @@
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
   let (first, _) = carried(&sent)[0];
   let sent = balancer.pass(Duration::from_millis(41));
-  let [(second, Purpose::Open)] = carried(&sent)[..] else {
+  let [(second, Handling::Open)] = carried(&sent)[..] else {
     panic!("{sent:?}");
   };
   assert_ne!(first, second);
@@ -61,7 +61,7 @@
   let (first, _) = carried(&sent)[0];
   assert_eq!(carried(&balancer.pass(Duration::from_millis(90))), []);
   let sent = balancer.pass(Duration::from_millis(30));
-  let [(second, Purpose::Open)] = carried(&sent)[..] else {
+  let [(second, Handling::Open)] = carried(&sent)[..] else {
     panic!("{sent:?}");
   };
   assert_ne!(first, second);
@@ -84,7 +84,7 @@
   let (first, _) = carried(&sent)[0];
   let frame = Frame::Refused(flow(1, 1), Refusal::Full, Load::default());
   let sent = balancer.frame(first, &frame, &[]);
-  let [(second, Purpose::Open)] = carried(&sent)[..] else {
+  let [(second, Handling::Open)] = carried(&sent)[..] else {
     panic!("{sent:?}");
   };
   assert_ne!(first, second);
@@ -97,7 +97,7 @@
   balancer.platform(update(Some(4), 5, &[leaving]));
   for port in 0..50 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
-    assert!(!carried(&sent).contains(&(11, Purpose::Open)));
+    assert!(!carried(&sent).contains(&(11, Handling::Open)));
     balancer.pass(Duration::from_millis(50));
   }
 }
@@ -112,7 +112,7 @@
   balancer.platform(update(Some(4), 6, &records));
   for port in 0..50 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
-    assert!(!carried(&sent).contains(&(11, Purpose::Open)));
+    assert!(!carried(&sent).contains(&(11, Handling::Open)));
     balancer.pass(Duration::from_millis(50));
   }
 }
@@ -123,7 +123,7 @@
   let records = [unlisted(5, "up-11"), unlisted(6, "up-12")];
   balancer.platform(update(Some(4), 6, &records));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
+  assert_matches!(carried(&sent)[..], [(11 | 12, Handling::Open)]);
   balancer.pass(Duration::from_secs(3));
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
   assert_eq!(carried(&sent), []);
@@ -193,11 +193,11 @@
   // A target that fails everything at once never has any work.
   feed_status(&mut balancer, 14, 1, load(1, 0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_matches!(carried(&sent)[..], [(11..=13, Purpose::Open)]);
+  assert_matches!(carried(&sent)[..], [(11..=13, Handling::Open)]);
   // It is still used if all others are full.
   for host in [11, 12, 13] {
     feed_status(&mut balancer, host, 1, load(40, 30));
   }
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
-  assert_eq!(carried(&sent), [(14, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(14, Handling::Open)]);
 }
--- a/tests/datagram/balancing.rs
+++ b/tests/datagram/balancing.rs
@@ -10,7 +10,7 @@
     config::Presence,
     datagram::{
       Flow, Frame, Load, Rate, balancer,
-      frame::{Known, Purpose, Role, Status},
+      frame::{Handling, Known, Role, Status},
     },
   },
   std::time::Duration,
@@ -71,10 +71,10 @@
   balancer.frame(host, &Frame::Status(status), &[])
 }
 
-/// The hosts that packets were sent to, and for what purpose.
-pub fn carried(sent: &[Sent]) -> Vec<(u8, Purpose)> {
+/// The hosts that packets were sent to, and what each is to do with its packet.
+pub fn carried(sent: &[Sent]) -> Vec<(u8, Handling)> {
   let frames = sent.iter().filter_map(|sent| match sent {
-    Sent::Frame(to, Frame::Carry { purpose, .. }, _) => Some((to.ip().octets()[3], *purpose)),
+    Sent::Frame(to, Frame::Carry { handling, .. }, _) => Some((to.ip().octets()[3], *handling)),
     _ => None,
   });
   frames.collect()
--- a/tests/datagram/cold.rs
+++ b/tests/datagram/cold.rs
@@ -11,7 +11,7 @@
   assert_matches::assert_matches,
   fallwell::datagram::{
     Frame, Load, Record,
-    frame::{Purpose, Refusal},
+    frame::{Handling, Refusal},
   },
   std::time::Duration,
 };
@@ -40,7 +40,7 @@
 /// Sends an opening packet of the balancer on host `from`; false where the agent refuses the flow.
 fn try_open(agent: &mut Agent, from: u8, port: u16) -> bool {
   let packet = Packet::open(flow(port, 1), 0);
-  let sent = agent.frame(from, &carry(Purpose::Open), &packet.write());
+  let sent = agent.frame(from, &carry(Handling::Open), &packet.write());
   match &sent[..] {
     [Sent::Upstream(given)] => *given == packet,
     [Sent::Frame(_, Frame::Refused(_, Refusal::Cold, load), _)] => {
@@ -216,11 +216,11 @@
     .flat_map(|port| carried(&balancer.packet(Packet::open(flow(port, 1), 0))))
     .collect::<Vec<_>>();
   opened.sort_by_key(|(host, _)| *host);
-  assert_eq!(opened, [(11, Purpose::Open), (12, Purpose::Open)]);
+  assert_eq!(opened, [(11, Handling::Open), (12, Handling::Open)]);
   // The third is queued until there is room.
   feed_status(&mut balancer, 12, 1, room(1));
   let sent = balancer.pass(Duration::from_millis(6));
-  assert_eq!(carried(&sent), [(12, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(12, Handling::Open)]);
 }
 
 #[test]
--- a/tests/datagram/evacuations.rs
+++ b/tests/datagram/evacuations.rs
@@ -15,7 +15,7 @@
     config::Presence,
     datagram::{
       Catalog, Frame, Load, Update,
-      frame::{Purpose, Refusal},
+      frame::{Handling, Refusal},
     },
   },
   std::time::{Duration, Instant},
@@ -124,14 +124,14 @@
   set_closed(&mut balancer, 5, LOCAL, true);
   for port in 2..20 {
     let sent = balancer.packet(Packet::open(flow(port, 1), 0));
-    assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+    assert_eq!(carried(&sent), [(13, Handling::Open)]);
     feed_status(&mut balancer, 13, 1, Load::default());
   }
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
-  assert_eq!(carried(&sent), [(host, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(host, Handling::Deliver)]);
   set_closed(&mut balancer, 6, LOCAL, false);
   let sent = balancer.packet(Packet::open(flow(30, 1), 0));
-  assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
+  assert_matches!(carried(&sent)[..], [(11 | 12, Handling::Open)]);
 }
 
 #[test]
@@ -146,7 +146,7 @@
   assert_eq!(carried(&balancer.pass(Duration::from_millis(6))), []);
   feed_status(&mut balancer, 13, 1, Load::default());
   let sent = balancer.pass(Duration::from_millis(6));
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
 }
 
 #[test]
@@ -172,14 +172,14 @@
   let (host, _) = carried(&sent)[0];
   let refused = Frame::Refused(flow(1, 1), Refusal::Closed, Load::default());
   let sent = balancer.frame(host, &refused, &[]);
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
   // The agent's refusal expires soon if the platform doesn't confirm it.
   balancer.now += Duration::from_millis(1100);
   feed_status(&mut balancer, 11, 1, Load::default());
   let sent = balancer.packet(Packet::open(flow(3, 1), 0));
-  assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
+  assert_matches!(carried(&sent)[..], [(11 | 12, Handling::Open)]);
 }
 
 /// A balancer that stops placing flows in an evacuated data centre after 1 s, with a target there
@@ -204,36 +204,36 @@
 fn a_balancer_stops_placing_flows_at_its_share_of_the_evacuation_time() {
   let mut balancer = closing(Duration::ZERO);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_eq!(carried(&sent), [(11, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(11, Handling::Open)]);
   balancer.now += Duration::from_secs(1);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
 }
 
 #[test]
 fn an_evacuation_that_may_be_old_takes_effect_at_once() {
   let mut balancer = closing(Duration::from_secs(2));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
 }
 
-fn carry_to(agent: &mut Agent, purpose: Purpose, packet: Packet) -> Vec<Sent> {
-  agent.frame(1, &carry(purpose), &packet.write())
+fn carry_to(agent: &mut Agent, handling: Handling, packet: Packet) -> Vec<Sent> {
+  agent.frame(1, &carry(handling), &packet.write())
 }
 
 #[test]
 fn an_agent_in_a_closed_data_centre_refuses_new_flows() {
   let mut agent = agent();
-  carry_to(&mut agent, Purpose::Open, Packet::open(flow(1, 1), 0));
+  carry_to(&mut agent, Handling::Open, Packet::open(flow(1, 1), 0));
   let answer = Packet {
     sequence: 100,
     ..Packet::open(flow(1, 1), 1)
   };
   agent.packet(answer);
   let data = Packet::data(flow(1, 1), 2, 101);
-  carry_to(&mut agent, Purpose::Deliver, data);
+  carry_to(&mut agent, Handling::Deliver, data);
   agent.platform(update(Some(2), 3, &[evacuation(3, LOCAL, true)]));
-  let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(2, 1), 0));
+  let sent = carry_to(&mut agent, Handling::Open, Packet::open(flow(2, 1), 0));
   assert_matches!(
     &sent[..],
     [Sent::Frame(to, Frame::Refused(refused, Refusal::Closed, _), _)]
@@ -241,10 +241,10 @@
   );
   // An open flow is still served.
   let data = Packet::data(flow(1, 1), 12, 101);
-  let sent = carry_to(&mut agent, Purpose::Deliver, data);
+  let sent = carry_to(&mut agent, Handling::Deliver, data);
   assert_eq!(sent, [Sent::Upstream(data)]);
   agent.platform(update(Some(3), 4, &[evacuation(4, LOCAL, false)]));
-  let sent = carry_to(&mut agent, Purpose::Open, Packet::open(flow(3, 1), 0));
+  let sent = carry_to(&mut agent, Handling::Open, Packet::open(flow(3, 1), 0));
   assert_eq!(sent, [Sent::Upstream(Packet::open(flow(3, 1), 0))]);
 }
 
--- a/tests/datagram/failing.rs
+++ b/tests/datagram/failing.rs
@@ -9,7 +9,7 @@
   },
   fallwell::{
     config::Presence,
-    datagram::{Load, Machine, frame::Purpose},
+    datagram::{Load, Machine, frame::Handling},
   },
   rand::{RngExt, SeedableRng, rngs::SmallRng},
   std::time::Duration,
@@ -24,13 +24,13 @@
 /// Sends a request in a new flow, which the upstream answers after `time`.
 fn request(agent: &mut Agent, port: u16, time: Duration) {
   let open = Packet::open(flow(port, 1), 0);
-  agent.frame(1, &carry(Purpose::Open), &open.write());
+  agent.frame(1, &carry(Handling::Open), &open.write());
   agent.packet(Packet {
     sequence: 100,
     ..Packet::open(flow(port, 1), 1)
   });
   let data = Packet::data(flow(port, 1), 2, 101);
-  agent.frame(1, &carry(Purpose::Deliver), &data.write());
+  agent.frame(1, &carry(Handling::Deliver), &data.write());
   agent.now += time;
   agent.packet(Packet::data(flow(port, 1), 101, 12));
 }
--- a/tests/datagram/fan_out.rs
+++ b/tests/datagram/fan_out.rs
@@ -11,7 +11,7 @@
     Revision,
     datagram::{
       Frame, Machine, Version,
-      frame::{Purpose, fan_out_max},
+      frame::{Handling, fan_out_max},
       service::Digest,
     },
   },
@@ -132,7 +132,7 @@
   let mut agent = restarted_agent();
   // A late opening packet, then a packet of a flow that the previous incarnation may have opened.
   let open = Packet::open(flow(1, 1), 2);
-  agent.frame(BALANCER, &carry(Purpose::Open), &open.write());
+  agent.frame(BALANCER, &carry(Handling::Open), &open.write());
   let packet = Packet::data(flow(1, 1), 2, 101);
   agent.frame(BALANCER, &flow_test("a"), &packet.write());
   agent.packet(reset_of(packet));
--- a/tests/datagram/frame.rs
+++ b/tests/datagram/frame.rs
@@ -4,7 +4,7 @@
   crate::support::{configured, flow, found, update},
   fallwell::{
     Code, Revision,
-    datagram::{Frame, Version, frame::Purpose, service::Digest},
+    datagram::{Frame, Version, frame::Handling, service::Digest},
   },
   proptest::prelude::*,
 };
@@ -13,7 +13,7 @@
 fn a_frame_and_its_packet_are_decoded() {
   let frame = Frame::Carry {
     synced: Revision(4),
-    purpose: Purpose::Test,
+    handling: Handling::Test,
     service: Digest(77),
     version: Version(3),
   };
--- a/tests/datagram/grants.rs
+++ b/tests/datagram/grants.rs
@@ -12,7 +12,7 @@
     config::Presence,
     datagram::{
       Frame, Load,
-      frame::{Purpose, Refusal},
+      frame::{Handling, Refusal},
     },
   },
   std::{net::SocketAddrV4, time::Duration},
@@ -38,7 +38,7 @@
 /// Sends the agent an opening packet of the balancer on host `from`.
 fn open(agent: &mut Agent, from: u8, port: u16) -> Vec<Sent> {
   let packet = Packet::open(flow(port, 1), 0);
-  agent.frame(from, &carry(Purpose::Open), &packet.write())
+  agent.frame(from, &carry(Handling::Open), &packet.write())
 }
 
 #[test]
@@ -193,7 +193,7 @@
 fn a_grant_opens_a_queued_flow() {
   let mut balancer = balancer_with_queued_flow();
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
-  assert_eq!(carried(&sent), [(12, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(12, Handling::Open)]);
   // Nothing is queued any more: the next grant is released.
   let sent = balancer.frame(12, &Frame::Grant(busy(5)), &[]);
   assert_eq!(sent, [Sent::Frame(peer(12), backlog(0), vec![])]);
--- a/tests/datagram/link.rs
+++ b/tests/datagram/link.rs
@@ -6,7 +6,7 @@
     plain::Packet,
     support::{Sent, flow, found},
   },
-  fallwell::datagram::{Event, Frame, Rate, frame::Purpose},
+  fallwell::datagram::{Event, Frame, Rate, frame::Handling},
   std::time::Duration,
 };
 
@@ -124,7 +124,7 @@
   for port in 1..=3 {
     for number in 0..WINDOW {
       let sent = send(&mut balancer, upload(port, number));
-      assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
+      assert_eq!(carried(&sent), [(11, Handling::Deliver)]);
     }
   }
 }
--- a/tests/datagram/remembering.rs
+++ b/tests/datagram/remembering.rs
@@ -14,7 +14,7 @@
     Revision,
     datagram::{
       Frame, Load,
-      frame::{Known, Purpose, Tombstone},
+      frame::{Handling, Known, Tombstone},
     },
   },
   std::time::Duration,
@@ -122,5 +122,5 @@
   assert!(!is_reset(&sent, flow(1, 1), 100), "{sent:?}");
   balancer.frame(13, &found(flow(1, 1)), &[]);
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
-  assert_eq!(carried(&sent), [(13, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(13, Handling::Deliver)]);
 }
--- a/tests/datagram/restarting.rs
+++ b/tests/datagram/restarting.rs
@@ -8,7 +8,7 @@
     support::{Sent, flow, found, peer},
   },
   assert_matches::assert_matches,
-  fallwell::datagram::{Frame, Load, frame::Purpose, handover::FlowRecord},
+  fallwell::datagram::{Frame, Load, frame::Handling, handover::FlowRecord},
   std::time::Duration,
 };
 
@@ -91,14 +91,14 @@
   assert_eq!(balancer.packet(packet), []);
   balancer.pass(Duration::from_millis(300));
   let sent = feed_status(&mut balancer, 11, 2, Load::default());
-  assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(11, Handling::Deliver)]);
   let is_handover = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Handover { .. }, _));
   let first = sent.iter().position(is_handover).expect("a handover");
   let is_carry = |sent: &Sent| matches!(sent, Sent::Frame(_, Frame::Carry { .. }, _));
   assert!(sent.iter().position(is_carry) > Some(first), "{sent:?}");
   // Later packets are forwarded at once.
   let sent = balancer.packet(Packet::data(flow(1, 1), 3, 110));
-  assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(11, Handling::Deliver)]);
 }
 
 #[test]
@@ -109,7 +109,7 @@
   for _ in 0..40 {
     sent.extend(balancer.pass(Duration::from_millis(50)));
   }
-  assert_eq!(carried(&sent), [(11, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(11, Handling::Deliver)]);
 }
 
 #[test]
--- a/tests/datagram/searching.rs
+++ b/tests/datagram/searching.rs
@@ -13,7 +13,7 @@
   fallwell::{
     Revision,
     config::Presence,
-    datagram::{Frame, Load, Machine, frame::Purpose},
+    datagram::{Frame, Load, Machine, frame::Handling},
   },
   std::{net::SocketAddrV4, time::Duration},
 };
@@ -25,9 +25,9 @@
   // Packets are buffered during the search.
   balancer.packet(Packet::data(flow(1, 1), 3, 100));
   let sent = balancer.frame(12, &found(flow(1, 1)), &[]);
-  assert_eq!(carried(&sent), [(12, Purpose::Deliver); 2]);
+  assert_eq!(carried(&sent), [(12, Handling::Deliver); 2]);
   let sent = balancer.packet(Packet::data(flow(1, 1), 4, 100));
-  assert_eq!(carried(&sent), [(12, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(12, Handling::Deliver)]);
 }
 
 #[test]
@@ -76,7 +76,7 @@
   let sent = balancer.frame(11, &unsure, &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Carry { purpose: Purpose::Test, .. }, packet)]
+    [Sent::Frame(to, Frame::Carry { handling: Handling::Test, .. }, packet)]
       if *to == peer(11) && *packet == small.write()
   );
   // The agent is not sent another test before it has answered.
@@ -85,7 +85,7 @@
   let sent = balancer.frame(11, &found(flow(1, 1)), &[]);
   assert_matches!(
     &sent[..],
-    [Sent::Frame(_, Frame::Carry { purpose: Purpose::Deliver, .. }, packet)]
+    [Sent::Frame(_, Frame::Carry { handling: Handling::Deliver, .. }, packet)]
       if *packet == large.write()
   );
 }
@@ -97,7 +97,7 @@
     Sent::Frame(
       to,
       Frame::Carry {
-        purpose: Purpose::Test,
+        handling: Handling::Test,
         ..
       },
       _,
@@ -318,7 +318,7 @@
   }
   assert_eq!(queried(&balancer.pass(Duration::ZERO)), [11, 12]);
   let sent = balancer.frame(12, &found(flow(1, 1)), &[]);
-  assert_eq!(carried(&sent), [(12, Purpose::Deliver); 16]);
+  assert_eq!(carried(&sent), [(12, Handling::Deliver); 16]);
 }
 
 #[test]
--- a/tests/datagram/support.rs
+++ b/tests/datagram/support.rs
@@ -7,7 +7,7 @@
     datagram::{
       Backend, Backends, Configuration, Event, Flow, Frame, Machine, Origin, Outbox, Rate, Record,
       Route, Service, Settings, Target, Tuning, Update, Upstream, Version, Via, Warmup, Weight,
-      agent, balancer, frame::Purpose, service::Digest,
+      agent, balancer, frame::Handling, service::Digest,
     },
   },
   std::{
@@ -257,10 +257,10 @@
 
 /// The frame in front of a caller's packet to an agent of service `a`, from a balancer whose
 /// catalog is complete up to revision 2.
-pub fn carry(purpose: Purpose) -> Frame {
+pub fn carry(handling: Handling) -> Frame {
   Frame::Carry {
     synced: Revision(2),
-    purpose,
+    handling,
     service: digest("a"),
     version: Version(1),
   }
--- a/tests/datagram/upstream_restarted.rs
+++ b/tests/datagram/upstream_restarted.rs
@@ -12,7 +12,7 @@
     config::Presence,
     datagram::{
       Catalog, Frame, Load, Machine, Record,
-      frame::{Known, Purpose},
+      frame::{Handling, Known},
       target::StartTime,
     },
   },
@@ -67,12 +67,12 @@
   agent.platform(update(Some(2), 3, &[incarnation(3, "up", 9, 100)]));
   agent.frame(
     1,
-    &carry(Purpose::Open),
+    &carry(Handling::Open),
     &Packet::open(flow(1, 1), 0).write(),
   );
   agent.packet(Packet::answer(flow(1, 1), 100));
   let request = Packet::data(flow(1, 1), 2, 101);
-  agent.frame(1, &carry(Purpose::Deliver), &request.write());
+  agent.frame(1, &carry(Handling::Deliver), &request.write());
   agent
 }
 
@@ -116,7 +116,7 @@
   };
   agent.frame(1, &restore, &[]);
   let packet = Packet::data(flow(1, 1), 2, 101);
-  agent.frame(1, &carry(Purpose::Deliver), &packet.write());
+  agent.frame(1, &carry(Handling::Deliver), &packet.write());
   let sent = agent.packet(packet.returned());
   assert_matches!(
     &sent[..],
@@ -188,8 +188,8 @@
   };
   feed_status(&mut balancer, 11, 1, down);
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_eq!(carried(&sent), [(12, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(12, Handling::Open)]);
   balancer.platform(update(Some(5), 6, &[incarnation(6, "up-11", 11, 200)]));
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
-  assert_eq!(carried(&sent), [(11, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(11, Handling::Open)]);
 }
--- a/tests/datagram/waiting.rs
+++ b/tests/datagram/waiting.rs
@@ -13,7 +13,7 @@
     config::Presence,
     datagram::{
       Flow, Frame, Load,
-      frame::{Purpose, Refusal},
+      frame::{Handling, Refusal},
     },
   },
   std::time::Duration,
@@ -41,7 +41,7 @@
     Sent::Frame(
       _,
       Frame::Carry {
-        purpose: Purpose::Open,
+        handling: Handling::Open,
         ..
       },
       packet,
@@ -62,7 +62,7 @@
   );
   feed_status(&mut balancer, 12, 1, busy(1));
   let sent = balancer.pass(Duration::from_millis(10));
-  assert_eq!(carried(&sent), [(12, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(12, Handling::Open)]);
 }
 
 #[test]
@@ -80,10 +80,10 @@
   }
   feed_status(&mut balancer, 13, 1, large(0));
   let sent = balancer.packet(Packet::open(flow(1, 1), 0));
-  assert_matches!(carried(&sent)[..], [(11 | 12, Purpose::Open)]);
+  assert_matches!(carried(&sent)[..], [(11 | 12, Handling::Open)]);
   saturate(&mut balancer);
   let sent = balancer.packet(Packet::open(flow(2, 1), 0));
-  assert_eq!(carried(&sent), [(13, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(13, Handling::Open)]);
 }
 
 #[test]
@@ -101,7 +101,7 @@
   );
   feed_status(&mut balancer, first, 1, busy(0));
   let sent = balancer.pass(Duration::from_millis(10));
-  assert_eq!(carried(&sent), [(first, Purpose::Open)]);
+  assert_eq!(carried(&sent), [(first, Handling::Open)]);
 }
 
 #[test]
--- a/tests/datagram/weights.rs
+++ b/tests/datagram/weights.rs
@@ -18,7 +18,7 @@
     Revision,
     datagram::{
       Backends, Flow, Frame, Load, Record, Service,
-      frame::{FormerBackend, Purpose, Refusal},
+      frame::{FormerBackend, Handling, Refusal},
     },
   },
   std::{collections::BTreeMap, net::SocketAddrV4, time::Duration},
@@ -122,7 +122,7 @@
 fn open_flow(balancer: &mut Balancer, flow: Flow) -> u8 {
   let sent = balancer.packet(Packet::open(flow, 0));
   let carried = carried(&sent);
-  let [(host, Purpose::Open)] = carried[..] else {
+  let [(host, Handling::Open)] = carried[..] else {
     panic!("{sent:?}");
   };
   host
@@ -176,7 +176,7 @@
   let sent = balancer.packet(Packet::data(flow(1, 1), 2, 100));
   assert_matches!(
     &sent[..],
-    [Sent::Frame(to, Frame::Carry { purpose: Purpose::Deliver, service, .. }, _)]
+    [Sent::Frame(to, Frame::Carry { handling: Handling::Deliver, service, .. }, _)]
       if *to == peer(21) && *service == crate::support::digest("b")
   );
 }
@@ -204,7 +204,7 @@
     service: crate::support::digest("b"),
   };
   let sent = balancer.frame(21, &found, &[]);
-  assert_eq!(carried(&sent), [(21, Purpose::Deliver)]);
+  assert_eq!(carried(&sent), [(21, Handling::Deliver)]);
 }
 
 #[test]
@@ -342,7 +342,7 @@
   agent.platform(update(Some(2), 3, &[split_record(3, 2, 0, 1)]));
   let packet = Packet::open(flow(1, 1), 0);
   // The sender has an older configuration.
-  let sent = agent.frame(1, &carry(Purpose::Open), &packet.write());
+  let sent = agent.frame(1, &carry(Handling::Open), &packet.write());
   assert!(!sent.contains(&Sent::Upstream(packet)), "{sent:?}");
 }
 
@@ -374,6 +374,6 @@
   let sent = balancer.frame(first, &refused, &[]);
   assert_eq!(
     carried(&sent),
-    [(if first == 11 { 12 } else { 11 }, Purpose::Open)]
+    [(if first == 11 { 12 } else { 11 }, Handling::Open)]
   );
 }
