--- a/src/datagram/balancer/announced.rs
+++ b/src/datagram/balancer/announced.rs
@@ -6,7 +6,8 @@
   },
 };
 
-/// How often a queue length is sent at least: before agents discard the last one.
+/// The longest interval between two reports of a queue length; shorter than the time after which
+/// agents discard one.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The queue lengths that agents were last sent, by service.
@@ -16,8 +17,8 @@
 }
 
 impl Announced {
-  /// Whether agents are due to be sent a queue length, which then counts as sent: the last one is
-  /// old, or the queue has since doubled or halved.
+  /// Whether a queue length is due to be sent to agents: the last one is old, or the queue has
+  /// since doubled or halved. The length then counts as sent.
   pub fn is_due(&mut self, now: Instant, service: &Service, flows: usize) -> bool {
     let last = self.services.get(service);
     let due = last.is_none_or(|(at, sent)| {
--- a/src/datagram/balancer/cost.rs
+++ b/src/datagram/balancer/cost.rs
@@ -25,8 +25,8 @@
 /// The cost of a target that fails fast, in milliseconds.
 const FAST_FAILING_COST_MS: f64 = 150.0;
 
-/// A target whose answers take less than this fraction of the median of its service fails fast:
-/// errors are answered at once.
+/// A target whose answers take less than this fraction of the median of its service counts as
+/// failing fast: an upstream that only returns errors does so at once.
 const FAST_FAILING_RATIO: f64 = 0.25;
 
 /// The wait at a target whose warm-up allows no new flow now, in milliseconds: longer than callers
@@ -72,8 +72,8 @@
   }
 }
 
-/// The cost of a target's utilisation at 100%, in milliseconds: prefers the less busy of two
-/// targets before any request waits.
+/// The cost of full utilisation, in milliseconds: the less busy of two targets is preferred even if
+/// a request would wait at neither.
 const UTILISATION_COST_MS: f64 = 12.0;
 
 impl Targets {
--- a/src/datagram/balancer/egress.rs
+++ b/src/datagram/balancer/egress.rs
@@ -18,7 +18,8 @@
 /// opening packets and frames between processes are not.
 const LARGE_BYTES: u16 = 512;
 
-/// The capacity of the queue, as sending time: after this, callers have retransmitted.
+/// The capacity of the queue, as sending time: a packet that is queued for longer has been
+/// retransmitted by its caller.
 const QUEUE_CAPACITY: Duration = Duration::from_millis(1500);
 
 /// A caller's packet in the queue.
--- a/src/datagram/balancer/evacuations.rs
+++ b/src/datagram/balancer/evacuations.rs
@@ -36,8 +36,8 @@
     listed || self.refusals.get(data_centre).is_some_and(is_recent)
   }
 
-  /// Takes over the closed data centres of the platform's records; new ones are closed from `from`
-  /// on.
+  /// Takes over the closed data centres of the platform's records; a new one is closed as of the
+  /// time `from`.
   pub fn update(&mut self, listed: &datagram::Evacuations, from: Instant) {
     self.listed.retain(|name, _| listed.is_closed(name));
     for name in listed.closed() {
--- a/src/datagram/balancer/history.rs
+++ b/src/datagram/balancer/history.rs
@@ -4,8 +4,8 @@
   time::{Duration, Instant},
 };
 
-/// After how long a peer that has not answered is sent the request again; shorter than the interval
-/// of statuses.
+/// The time after which the request is sent again to a peer that has not answered; shorter than the
+/// interval of statuses.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The longest time between two parts of an answer.
@@ -18,8 +18,8 @@
 /// statuses.
 const ANSWERS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a process counts as starting: as long as others that lost power with it may take to be
-/// back.
+/// How long a process counts as starting: the time that other processes which lost power with it
+/// may take to restart.
 const STARTING: Duration = Duration::from_secs(10);
 
 /// A peer's answer to a request for its history.
--- a/src/datagram/balancer/machine.rs
+++ b/src/datagram/balancer/machine.rs
@@ -57,7 +57,8 @@
   pub(super) flows: HashMap<Flow, Place>,
   /// Flows of agents that have stopped gracefully, by agent.
   pub(super) handovers: HashMap<SocketAddrV4, Handover>,
-  /// Whether timers have run once: a slow start is not a stall.
+  /// Whether timers have run before: if the first run is late, that is a slow start and not a
+  /// stall.
   pub(super) has_run: bool,
   pub(super) history: History,
   pub(super) last_expiry: Instant,
--- a/src/datagram/balancer/opening.rs
+++ b/src/datagram/balancer/opening.rs
@@ -97,7 +97,7 @@
   }
 
   /// Sends an opening packet to the best target of a service that it was not sent to yet, or queues
-  /// it. Starts over with all of them if there is none left.
+  /// it. If it was sent to all targets already, starts again with all.
   fn place_at(
     &mut self,
     now: Instant,
@@ -216,8 +216,8 @@
     self.targets.choose(now, flow, service, tried, limit_ms)
   }
 
-  /// Sends an opening packet to the next target. `refused`: the last one has refused it, so that it
-  /// certainly did not open the flow; the packet is then queued if no target is left.
+  /// Sends an opening packet to the next target. If `refused` is set, the last one has refused it,
+  /// and so certainly did not open the flow; the packet is then queued if no target is left.
   pub(super) fn place_next(&mut self, now: Instant, flow: Flow, refused: bool, out: &mut Outbox) {
     let Some(Place {
       state: State::Opening(opening),
--- a/src/datagram/balancer/restarting.rs
+++ b/src/datagram/balancer/restarting.rs
@@ -15,7 +15,7 @@
   pub(super) fn restore_flows(&mut self, now: Instant, agent: SocketAddrV4, out: &mut Outbox) {
     let service = self.targets.service(agent).map(Service::digest);
     let known = self.flows.iter().filter(|(_, place)| {
-      // An upstream of another service may have got the address.
+      // The address may now be that of another service's upstream.
       place.is_open_at(agent) && service.is_none_or(|service| service == place.service)
     });
     let mut known = known.map(|(flow, _)| *flow).collect::<Vec<_>>();
--- a/src/datagram/balancer/search.rs
+++ b/src/datagram/balancer/search.rs
@@ -10,7 +10,7 @@
 /// How many packets of a flow are buffered: a caller's window.
 const PACKETS_MAX: usize = 16;
 
-/// How often agents that have not answered are queried again, at most.
+/// The most times that agents which have not answered are queried again.
 const RETRIES_MAX: u32 = 3;
 
 type Agents = SmallVec<[SocketAddrV4; 12]>;
@@ -36,7 +36,7 @@
   /// The revision up to which this balancer has to know the target list before denials of all
   /// agents prove the flow lost.
   pub required_revision: Revision,
-  /// How often agents that have not answered were queried again.
+  /// How many times agents that have not answered were queried again.
   retries: u32,
   /// When it began.
   pub started: Instant,
@@ -180,7 +180,7 @@
     self.unsure.retain(|(unsure, _)| *unsure != agent);
   }
 
-  /// The buffered packets that an agent was not sent as a test.
+  /// The buffered packets except the one, if any, that the agent was sent as a test.
   pub fn packets_for(&self, agent: SocketAddrV4) -> impl Iterator<Item = &[u8]> {
     let sent = self.test_packet.filter(|_| self.tested.contains(&agent));
     let packets = self.packets.iter().enumerate();
--- a/src/datagram/balancer/searching.rs
+++ b/src/datagram/balancer/searching.rs
@@ -42,7 +42,7 @@
         queried = search.add_queried(self.targets.holders(&services));
       }
       if queried.is_empty() {
-        // Without an agent that denies the flow, it is not proved to be lost.
+        // With no agent to deny the flow, it is not proved to be lost.
         log::info!(
           flow:% = flow, services = services.len();
           "balancer: flow has no agent to query."
--- a/src/datagram/balancer/targets.rs
+++ b/src/datagram/balancer/targets.rs
@@ -35,7 +35,7 @@
   /// When a flow last failed to open there: it timed out, or the upstream was down, full or of
   /// another service.
   pub(super) open_failed: Option<Instant>,
-  /// Opening packets sent there that its reported load does not include yet.
+  /// The number of opening packets sent there that its reported load does not include yet.
   pub(super) pending: u16,
   pub(super) presence: Presence,
   pub(super) service: Service,
@@ -66,7 +66,7 @@
       self.open_failed = None;
     }
     if entry.target.start_time > self.start_time {
-      // The load of the previous incarnation says nothing of this one.
+      // The load of the previous incarnation does not apply to this one.
       self.load = Load::default();
       self.pending = 0;
       self.open_failed = None;
@@ -179,7 +179,7 @@
     target.is_some_and(|target| target.data_centre == self.data_centre)
   }
 
-  /// Those of the holders that are in this data centre.
+  /// The agents of `holders` that are in this data centre.
   pub fn local_holders(&self, services: &[Service]) -> impl Iterator<Item = SocketAddrV4> {
     self.holders(services).filter(|agent| self.is_local(*agent))
   }
