--- a/src/datagram/agent/admission.rs
+++ b/src/datagram/agent/admission.rs
@@ -6,8 +6,8 @@
   std::{net::SocketAddrV4, time::Instant},
 };
 
-/// In a closed data centre, an agent refuses new flows after this many times the longest delay
-/// after which balancers stop sending them, since the order may reach a balancer later.
+/// In a closed data centre, an agent refuses new flows after this many times the time within which
+/// balancers stop sending them: a balancer may receive the order later than the agent.
 const CLOSE_DELAY_FACTOR: f64 = 1.5;
 
 impl<C: Codec> Machine<C> {
@@ -88,7 +88,7 @@
     if let Some(opened) = evacuations.opened(&self.data_centre) {
       self.cold.suspect_reopened(now, opened);
     }
-    // A tombstone says nothing of the upstream's next incarnation.
+    // A tombstone does not apply to the upstream's next incarnation.
     let entry = self.gossip.catalog().at(self.upstream.address);
     if let Some((_, entry)) = entry.filter(|(_, entry)| entry.removed.is_none()) {
       self
--- a/src/datagram/agent/answers.rs
+++ b/src/datagram/agent/answers.rs
@@ -120,9 +120,9 @@
     }
   }
 
-  /// Handles a packet that the upstream bounced since it does not own its flow. The opening packet
-  /// of a flow that the upstream has accepted changes nothing; any other packet ends the flow here,
-  /// which is reported to its balancer.
+  /// Handles a packet that the upstream bounced since it does not own its flow. A bounced opening
+  /// packet of a flow that the upstream has accepted changes nothing; any other packet ends the
+  /// flow here, which is reported to its balancer.
   pub(super) fn take_bounced(
     &mut self,
     now: Instant,
--- a/src/datagram/agent/delivery.rs
+++ b/src/datagram/agent/delivery.rs
@@ -45,8 +45,8 @@
     Ok(())
   }
 
-  /// Gives the upstream an opening packet, unless the flow is refused. It is dropped where the
-  /// balancer has an older configuration and the flow's route no longer has this service.
+  /// Gives the upstream an opening packet, unless the flow is refused. The packet is dropped where
+  /// the balancer has an older configuration and the flow's route no longer has this service.
   pub(super) fn open(&mut self, now: Instant, packet: &CallerPacket, out: &mut Outbox) {
     let version = packet.version;
     let flow = packet.head.flow;
--- a/src/datagram/agent/flow_entry.rs
+++ b/src/datagram/agent/flow_entry.rs
@@ -9,8 +9,8 @@
 /// What an agent knows of a flow at its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowEntry {
-  /// The revision up to which the balancer that forwarded its last packet knew the target list,
-  /// opening packets aside.
+  /// The revision up to which the target list was known to the balancer that forwarded the flow's
+  /// last packet, not counting opening packets.
   pub asker_revision: Revision,
   /// Whether it counts as a request in flight, since its first request is expected shortly.
   pub awaits_request: bool,
--- a/src/datagram/agent/grants.rs
+++ b/src/datagram/agent/grants.rs
@@ -73,8 +73,9 @@
     self.reserved.len().min(usize::from(u16::MAX)) as u16
   }
 
-  /// Reserves a slot for the balancer that has the most flows without one, so that callers have the
-  /// same chance at all balancers, and returns the balancer; none where no balancer wants a slot.
+  /// Reserves a slot for the balancer that has the most flows without a reserved slot, so that
+  /// callers have the same chance at all balancers, and returns the balancer; none where no
+  /// balancer wants a slot.
   pub fn grant_next(&mut self, now: Instant) -> Option<SocketAddrV4> {
     let wanting = self.backlogs.iter_mut();
     let wanting = wanting.filter(|(_, backlog)| backlog.wanted() > 0);
@@ -122,7 +123,8 @@
     self.backlogs.insert(balancer, backlog);
   }
 
-  /// Takes a lapsed grant off the balancer's count, so that its flow may be granted another slot.
+  /// Subtracts a lapsed grant from the balancer's count, so that its flow may be granted another
+  /// slot.
   fn release(&mut self, balancer: SocketAddrV4) {
     if let Some(backlog) = self.backlogs.get_mut(&balancer) {
       backlog.granted = backlog.granted.saturating_sub(1);
--- a/src/datagram/agent/machine.rs
+++ b/src/datagram/agent/machine.rs
@@ -28,8 +28,8 @@
 /// How often idle flows are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a flow that the upstream bounced is remembered as absent. The upstream is given none of
-/// its packets in that time, since it counts each as a stray packet.
+/// How long a flow that the upstream bounced is remembered as absent. Meanwhile the upstream is
+/// given none of the flow's packets, since it would count each as a stray packet.
 const ABSENT_TTL: Duration = Duration::from_secs(5);
 
 /// A request that is unanswered for so long no longer counts as in flight.
@@ -410,8 +410,8 @@
     taken
   }
 
-  /// Whether the upstream has answered all requests: an answer that comes after the end is lost
-  /// until it is retransmitted.
+  /// Whether the upstream has answered all requests: an answer that comes after this process has
+  /// ended is lost until it is retransmitted.
   fn is_idle(&self) -> bool {
     self.work.in_flight() == 0
   }
--- a/src/datagram/agent/restarting.rs
+++ b/src/datagram/agent/restarting.rs
@@ -53,8 +53,8 @@
   }
 
   /// Sends the flows to balancers, which keep them for the next incarnation. No packet may be
-  /// forwarded after this: a flow that opened later would be missing from the handover, and the
-  /// next incarnation would report it absent.
+  /// forwarded after this: a flow opened later would be missing from the handover, and the next
+  /// incarnation would report it absent.
   pub(super) fn hand_over(&mut self, now: Instant, out: &mut Outbox) {
     let entries = self.flows.iter();
     let records = entries.filter_map(|(flow, entry)| entry.flow_record(*flow));
--- a/src/datagram/agent/work.rs
+++ b/src/datagram/agent/work.rs
@@ -6,11 +6,12 @@
 /// Weight of the newest request in the moving averages.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// An answer that takes less than this part of the usual time counts as an error: an upstream that
-/// fails a request does no work for it.
+/// An answer that takes less than this fraction of the usual time counts as an error: an upstream
+/// that fails a request does no work for it.
 const ERROR_TIME_RATIO: f64 = 0.2;
 
-/// Weight of the newest answer in the share of errors, so that a few errors in a row show.
+/// Weight of the newest answer in the share of errors; large enough for a few errors in a row to
+/// show.
 const FAILED_WEIGHT: f64 = 0.1;
 
 /// Weight of an answer that took longer than the usual time.
@@ -36,13 +37,13 @@
 /// The longest time for which the circuit stays open.
 const OPEN_FOR_MAX: Duration = Duration::from_secs(2);
 
-/// The requests in flight at an agent's upstream, what its answers tell of its health, and the
-/// circuit breaker that stops new flows while the upstream resets its requests.
+/// The requests in flight at an agent's upstream, the upstream's health as its answers show it, and
+/// the circuit breaker that stops new flows while the upstream resets its requests.
 #[derive(Debug, Default)]
 pub struct Work {
   /// Moving average of the bytes of a request and its answer.
   bytes: f64,
-  /// Requests that were reset since the last answer.
+  /// The number of requests that were reset since the last answer.
   consecutive_resets: u32,
   /// The share of answers that were most likely errors.
   failed: f64,
