--- a/src/datagram/backends.rs
+++ b/src/datagram/backends.rs
@@ -59,7 +59,7 @@
     ranked
   }
 
-  /// All services, including those of weight 0, which may have flows from before.
+  /// All services, including those of weight 0, which may own flows that were opened earlier.
   pub fn services(&self) -> impl Iterator<Item = &Service> {
     self.0.iter().map(|backend| &backend.service)
   }
--- a/src/datagram/bundle.rs
+++ b/src/datagram/bundle.rs
@@ -14,7 +14,7 @@
 const LENGTH_MAX: usize = 2;
 
 /// Packs the frames that are sent to one process at the same time into one datagram, since each
-/// datagram costs sender and receiver something besides its bytes.
+/// datagram has a fixed cost for sender and receiver.
 #[derive(Debug, Default)]
 pub struct Bundler {
   bytes: Vec<u8>,
--- a/src/datagram/codec.rs
+++ b/src/datagram/codec.rs
@@ -6,7 +6,7 @@
 
 /// Reads and writes the packets of flows. Payloads are never changed.
 pub trait Codec: Clone + Send + 'static {
-  /// How often a caller sends an opening packet in all; each attempt is numbered
+  /// How many times a caller sends an opening packet in all; each attempt is numbered
   /// (`Head::acknowledges`).
   const OPEN_ATTEMPTS: u32;
 
@@ -23,7 +23,7 @@
   }
 
   /// The time from a caller's first opening packet by which another attempt would have been
-  /// received if the caller still were trying: one interval after the last attempt.
+  /// received if the caller were still trying: one interval after the last attempt.
   fn last_attempt_until() -> Duration {
     Self::retransmit_after(Self::OPEN_ATTEMPTS - 1) + Self::INITIAL_RTO
   }
--- a/src/datagram/event.rs
+++ b/src/datagram/event.rs
@@ -106,7 +106,7 @@
     self.gossip().add_seeds(now, seeds);
   }
 
-  /// The gossip state: the catalog, the peers and what is to be read.
+  /// The gossip state: the catalog, the peers and which updates are to be read or pulled.
   fn gossip(&mut self) -> &mut Gossip;
 
   /// The process starts a graceful shutdown.
--- a/src/datagram/gossip.rs
+++ b/src/datagram/gossip.rs
@@ -24,8 +24,8 @@
 /// again when it comes back.
 const PEER_TTL: Duration = Duration::from_mins(5);
 
-/// After this long without a frame from a balancer, the next one is logged; balancers in other data
-/// centres send a status to agents only every two seconds.
+/// After this long without a frame from a balancer, its next frame is logged; balancers in other
+/// data centres send a status to agents only every two seconds.
 const LOST_AFTER: Duration = Duration::from_secs(5);
 
 /// The shortest idle timeout of flows, whatever the configuration says.
@@ -224,7 +224,8 @@
     let change = self.catalog.apply_update(now, update);
     if origin == Origin::Platform {
       self.confirmed = Some(now);
-      // The status passes the confirmation on; without one, peers read the platform themselves.
+      // The status carries the confirmation to peers; without it, they read the platform
+      // themselves.
       self.next = now;
     } else {
       self.pull = None;
--- a/src/datagram/gossip/overlay.rs
+++ b/src/datagram/gossip/overlay.rs
@@ -1,7 +1,7 @@
 use {std::net::SocketAddrV4, xxhash_rust::xxh3::xxh3_64};
 
 /// The average number of a process's neighbours in the overlay, among the balancers of all data
-/// centres: enough that an update reaches all over a few hops.
+/// centres: enough for an update to reach all of them within a few hops.
 const DEGREE: usize = 32;
 
 /// The overlay of pairs that exchange statuses across data centres. A full mesh would send a number
--- a/src/datagram/handover.rs
+++ b/src/datagram/handover.rs
@@ -52,7 +52,7 @@
       .chunks(FLOWS_MAX)
       .map(<[FlowRecord]>::to_vec)
       .collect::<Vec<_>>();
-    // An empty table is sent too: it saves the next incarnation testing flows at its upstream.
+    // An empty table is sent too: the next incarnation then need not test flows at its upstream.
     if parts.is_empty() {
       parts.push(Vec::new());
     }
--- a/src/datagram/node/packet_loop.rs
+++ b/src/datagram/node/packet_loop.rs
@@ -31,7 +31,7 @@
 /// The size of the receive buffer, in bytes: the largest datagram.
 const BUFFER: usize = 1 << 16;
 
-/// The most datagrams that are handled of one socket before the others have their turn.
+/// The most datagrams that are read from one socket before the others are served.
 const BURST_MAX: usize = 32;
 
 /// How often a process checks whether it is to read the platform; the check iterates over all its
@@ -48,8 +48,8 @@
 }
 
 impl Sockets {
-  /// Binds both: `peers` for frames, `packets` for callers or the upstream. Fails if an address is
-  /// unavailable.
+  /// Binds the sockets: `peers` for frames, `packets` for callers or the upstream. Fails if an
+  /// address is unavailable.
   pub fn bind(peers: SocketAddrV4, packets: SocketAddrV4) -> Result<Self, Fault> {
     let bind = |address: SocketAddrV4| {
       UdpSocket::bind(address.into())
@@ -113,7 +113,7 @@
   /// Runs the packet loop until `Message::End`. Fails if polling or a socket fails.
   pub fn run(&mut self) -> Result<(), Fault> {
     let mut events = Events::with_capacity(8);
-    // Whether datagrams may be waiting: from peers, and packets.
+    // Whether datagrams may be waiting in each socket: frames of peers, and packets.
     let mut waiting = [true, true];
     loop {
       let now = Instant::now();
@@ -227,7 +227,8 @@
     self.out.clear();
   }
 
-  /// Publishes the catalog, and what is to be read, to the control thread.
+  /// Publishes to the control thread the catalog, whether to read the platform, and which update to
+  /// pull.
   fn publish(&mut self, now: Instant) {
     let gossip = self.machine.gossip();
     let checked = self.reader;
--- a/src/datagram/node/shared.rs
+++ b/src/datagram/node/shared.rs
@@ -65,7 +65,7 @@
   pub ready: AtomicBool,
   /// Pulls from peers.
   pub pulls: mpsc::UnboundedSender<Pull>,
-  /// What is to be read from the platform.
+  /// Whether the platform is to be read, and from which revision.
   pub reading: watch::Sender<Reading>,
   /// Whether the process is stopping.
   pub stopping: AtomicBool,
--- a/src/datagram/record.rs
+++ b/src/datagram/record.rs
@@ -61,7 +61,7 @@
   Delta {
     /// The difference.
     delta: Delta,
-    /// The revision after which all the differences were made.
+    /// The revision after which all changes in the difference were made.
     after: Revision,
     /// The platform's revision.
     revision: Revision,
--- a/src/datagram/settings.rs
+++ b/src/datagram/settings.rs
@@ -101,10 +101,11 @@
   /// The cost that is added to `crossing_ms`, in the same unit, for each kilobyte of the target's
   /// average request with its answer.
   pub crossing_ms_per_kb: f64,
-  /// How long an opened flow counts as a request in flight before its first request arrives, at
-  /// least.
+  /// The shortest time for which an opened flow counts as a request in flight while its first
+  /// request has not arrived.
   pub arrival_min: Duration,
-  /// The same before any arrival has been observed.
+  /// How long an opened flow counts as a request in flight before the arrival of any first request
+  /// has been observed.
   pub arrival_initial: Duration,
   /// How long a reset flow is remembered.
   pub dead: Duration,
@@ -118,8 +119,8 @@
   pub flows_max: usize,
   /// The idle timeout of flows before there is a configuration.
   pub idle: Duration,
-  /// How long a target may take to answer an opening packet before another is tried, at least and
-  /// initially. A round trip between data centres takes 3 ms.
+  /// The shortest, and the initial, time that a target has to answer an opening packet before
+  /// another is tried. A round trip between data centres takes 3 ms.
   pub open_wait: Duration,
   /// How many balancers read the platform.
   pub readers: usize,
@@ -130,7 +131,7 @@
   /// How long a search waits for the agents of the balancer's own data centre before it queries all
   /// others; longer than `test`, since an agent that has just started may have to run a test first.
   pub search_local: Duration,
-  /// The most bytes of packets that are buffered while their flows are searched.
+  /// The most bytes of packets that are buffered while their flows are searched for.
   pub search_bytes: usize,
   /// The time without a frame after which a process counts as unresponsive.
   pub peer_timeout: Duration,
@@ -139,10 +140,10 @@
   /// How old the platform's latest confirmation of the catalog may become before a balancer reads
   /// the platform itself; longer than a watch of the reader and the propagation of its status.
   pub takeover: Duration,
-  /// The fraction of its route's objective that a new flow may be queued, so that its request can
-  /// still be answered in time.
+  /// The fraction of its route's objective for which a new flow may be queued, so that its request
+  /// can still be answered in time.
   pub wait_part: f64,
-  /// The same for a route that has precedence over others of its service.
+  /// As `wait_part`, for a route that has precedence over others of its service.
   pub wait_part_first: f64,
   /// How long an agent waits for the upstream to return a packet that it sent as a test.
   pub test: Duration,
