--- a/src/flow/machine.rs
+++ b/src/flow/machine.rs
@@ -42,7 +42,7 @@
 struct Forwarded {
   last_packet: Instant,
   to: id::Target,
-  /// Packets forwarded since the target last confirmed that it owns the flow.
+  /// The number of packets forwarded since the target last confirmed that it owns the flow.
   unanswered: u8,
 }
 
--- a/src/routing/machine.rs
+++ b/src/routing/machine.rs
@@ -117,8 +117,9 @@
     chain.extend(last);
     let mut search = false;
     if chain.is_empty() {
-      // All candidates are silent. A target that isn't may have cached the owner of the flow; if all
-      // targets are silent, up to `CHAIN_MAX` of them are sent the packet.
+      // All candidates are silent. A responsive target that is no candidate may have cached the
+      // owner of the flow; if all targets are silent, up to `CHAIN_MAX` of them are sent the
+      // packet.
       chain.extend(scores.best_responsive(table));
       search = chain.is_empty();
       if search {
