--- a/src/agent/call.rs
+++ b/src/agent/call.rs
@@ -47,8 +47,9 @@
   /// When the head of the answer must have arrived. A request that has not started by then is not
   /// run.
   pub deadline: Instant,
-  /// Whether it is run here or refused instead of being offered to peers: it is a feed, or matches
-  /// no route and so could be one. Retries and hand-offs to a key's home ignore this.
+  /// Whether it is run here or refused instead of being offered to peers: true for a feed, and for
+  /// a request that matches no route and so could be a feed. Retries and hand-offs to a key's home
+  /// ignore this.
   pub local_only: bool,
 }
 
--- a/src/agent/reply.rs
+++ b/src/agent/reply.rs
@@ -11,7 +11,8 @@
   },
 };
 
-/// The time after which the slot of an unfinished answer is released, since it may be a feed.
+/// The time after which the slot of an unfinished answer is released, since the answer may be a
+/// feed (a long-running stream).
 const SLOT_TIME_MAX: Duration = Duration::from_secs(1);
 
 /// The reply to a request.
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -193,7 +193,7 @@
     *self.leaving.borrow()
   }
 
-  /// The key's home if those already tried are left out; none if no target is left.
+  /// The key's home among the targets that are not in `tried`; none if there are no others.
   pub fn home(&self, key: u128, tried: &[id::Target]) -> Option<Hop> {
     home::find(self.table()?.as_ref(), key, tried)
   }
--- a/src/agent/tunnel.rs
+++ b/src/agent/tunnel.rs
@@ -358,7 +358,8 @@
     }
   }
 
-  /// Whether the process is stopping, or the target is marked as leaving or missing in the service.
+  /// Whether the process is stopping, or the service marks the target as leaving or does not list
+  /// it.
   fn is_leaving(&self) -> bool {
     let leaves_service = self.shared.service().is_some_and(|service| {
       service
--- a/src/agent/upstream.rs
+++ b/src/agent/upstream.rs
@@ -140,7 +140,7 @@
     .headers
     .insert("x-forwarded-for", forwarded_for.map_err(|_| malformed())?);
   strip_connection_headers(&mut head.headers);
-  // Only agents may set these headers, except for the attempt.
+  // Only agents may set these headers; callers may set `fallwell-attempt` too.
   let internal = head
     .headers
     .keys()
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -21,8 +21,8 @@
 impl Document {
   /// Parses and validates the JSON text stored under `key`.
   ///
-  /// Fails when the text is too long, is no valid JSON of its kind, has another id than the key, or
-  /// has a value out of range.
+  /// Fails when the text is too long, is not valid JSON of its kind, has another id than the key,
+  /// or has a value out of range.
   pub fn parse(key: Key, text: &str) -> Result<Self, Fault> {
     if text.len() > SIZE_LIMIT {
       return Err(Fault::new(
--- a/src/peer/machine.rs
+++ b/src/peer/machine.rs
@@ -356,8 +356,8 @@
       return outgoing;
     }
     self.version += 1;
-    // So many at once mean that this process is catching up, so its peers probably have them
-    // already. If not, the digests repair it.
+    // So many documents at once mean that this process is catching up, so its peers probably have
+    // them already. If not, the digests repair it.
     if accepted.len() > self.settings.push_max {
       return outgoing;
     }
--- a/src/peer/node.rs
+++ b/src/peer/node.rs
@@ -90,7 +90,7 @@
     self.machine.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Makes the control thread exchange with a peer soon, instead of after the interval.
+  /// Makes the control thread start an exchange with a peer soon, instead of after the interval.
   pub fn request_sync(&self) {
     self.sync_requested.store(true, Ordering::Relaxed);
   }
