--- a/src/standin/fabric.rs
+++ b/src/standin/fabric.rs
@@ -45,8 +45,9 @@
   pub listen: SocketAddr,
 }
 
-/// A network with faults. It forwards each datagram to a random back of its front, using one
-/// socket per sender, and TCP connections to the first back. The faults are those of its [`Plan`].
+/// A network with faults. It forwards each datagram to a random destination of its front, using one
+/// socket per sender, and TCP connections to the first destination. The faults are those of its
+/// [`Plan`].
 #[derive(Debug, Default)]
 pub struct Fabric {
   datagram_bytes: AtomicU64,
@@ -56,7 +57,7 @@
   stream_bytes: AtomicU64,
 }
 
-/// Forwards datagrams between one sender and the backs of one front.
+/// Forwards datagrams between one sender and the destinations of one front.
 struct Session {
   fabric: Arc<Fabric>,
   front: Arc<UdpSocket>,
@@ -186,7 +187,7 @@
     }
   }
 
-  /// Whether the client, or the front that it is connected to, is cut off from the back.
+  /// Whether the client, or the front that it is connected to, is cut off from the destination.
   fn is_cut(&self, [client, listen, back]: &[IpAddr; 3]) -> bool {
     let plan = lock(&self.plan);
     plan.is_cut(*client, *back) || plan.is_cut(*listen, *back)
@@ -234,7 +235,7 @@
 }
 
 impl Session {
-  /// Forwards a datagram of the sender to a random back.
+  /// Forwards a datagram of the sender to a random destination.
   async fn forward(&self, datagram: &[u8], rng: &mut SmallRng) {
     let back = {
       let fronts = lock(&self.fabric.fronts);
@@ -249,7 +250,7 @@
     send_copies(&self.socket, back, datagram, copy_delays).await;
   }
 
-  /// Forwards the datagrams from all backs to the sender.
+  /// Forwards the datagrams from all destinations to the sender.
   async fn return_datagrams(self: Arc<Self>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut buffer = vec![0; BUFFER_BYTES];
